--- a/packages/decisions/add-loan.ts
+++ b/packages/decisions/add-loan.ts
@@ -1,9 +1,9 @@
-import type {Purse} from './purse.ts';
+import type {LoanAccount} from './loan-account.ts';
 
-/** Adds a loan to a purse. */
+/** Adds a loan to a account. */
 export function addLoan(
-	purse: Purse,
+	account: LoanAccount,
 	loan: {readonly id: number; readonly units: number; readonly expiresAt: number},
-): Purse {
-	return loan.units > 0 ? {...purse, loans: [...purse.loans, {...loan, used: 0}]} : purse;
+): LoanAccount {
+	return loan.units > 0 ? {...account, loans: [...account.loans, {...loan, used: 0}]} : account;
 }
--- a/packages/decisions/lend-stock.ts
+++ b/packages/decisions/lend-standby-units.ts
@@ -1,4 +1,4 @@
-import type {StandbyStock} from './standby-stock.ts';
+import type {StandbyLoan} from './standby-loan.ts';
 
 type Asked = {
 	/** Units that the host cannot do without; neither less nor more is lent. */
@@ -17,17 +17,17 @@
  * it is within the rate whatever has become of the home. What a borrower does not use would be lost, so nothing is
  * lent ahead of demand.
  *
- * @param stock The stock.
+ * @param loan The stock.
  * @param asked What the host asks for, and monotonic milliseconds.
  * @returns The stock, the units, and the milliseconds for which they may be used.
  */
-export function lendStock(
-	stock: StandbyStock,
+export function lendStandbyUnits(
+	loan: StandbyLoan,
 	asked: Asked,
-): {readonly stock: StandbyStock; readonly units: number; readonly span: number} {
-	const left = (stock.expiresAt - asked.now) / asked.driftMargin;
-	const units = left > 0 && stock.units >= asked.needed ? asked.needed : 0;
+): {readonly loan: StandbyLoan; readonly units: number; readonly span: number} {
+	const left = (loan.expiresAt - asked.now) / asked.driftMargin;
+	const units = left > 0 && loan.units >= asked.needed ? asked.needed : 0;
 	return {
-		stock: {...stock, units: stock.units - units}, units, span: Math.max(0, Math.floor(Math.min(left, asked.longestSpan))),
+		loan: {...loan, units: loan.units - units}, units, span: Math.max(0, Math.floor(Math.min(left, asked.longestSpan))),
 	};
 }
--- a/packages/decisions/lend-units.test.ts
+++ b/packages/decisions/lend-units.test.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {addLoan} from './add-loan.ts';
-import {createPurse} from './create-purse.ts';
+import {createLoanAccount} from './create-loan-account.ts';
 import {lendUnits} from './lend-units.ts';
-import {settlePurse} from './settle-purse.ts';
+import {settleLoanAccount} from './settle-loan-account.ts';
 import {spendUnits} from './spend-units.ts';
 import type {HomeBucket} from './home-bucket.ts';
 
@@ -32,16 +32,16 @@
 
 	it('lends the whole rate to one host that asks all the time', () => {
 		let home: HomeBucket = {level: 0, refilledAt: 0, loans: []};
-		let purse = createPurse(0);
+		let purse = createLoanAccount(0);
 		let used = 0;
 		for (let now = 0; now <= 10_000; now += 10) {
-			const report = settlePurse(purse);
+			const report = settleLoanAccount(purse);
 			const lent = lendUnits(home, {
 				host: 'a', id: report.id, needed: 1, wanted: 5, settled: report.settled, rate, burst, span, now,
 			});
 			home = lent.bucket;
-			const spent = spendUnits(addLoan(report.purse, {id: report.id, units: lent.units, expiresAt: now + span}), {cost: 1, isFirst: true, now});
-			({purse} = spent);
+			const spent = spendUnits(addLoan(report.account, {id: report.id, units: lent.units, expiresAt: now + span}), {cost: 1, isFirst: true, now});
+			({account: purse} = spent);
 			used += spent.isSpent ? 1 : 0;
 		}
 
--- a/packages/decisions/purse.ts
+++ b/packages/decisions/loan-account.ts
@@ -1,5 +1,5 @@
 /** Units of a workspace that a host has on loan. Times are monotonic milliseconds. */
-export type Purse = {
+export type LoanAccount = {
 	/** Loans, oldest first. */
 	readonly loans: readonly BorrowedLoan[];
 	/** Number of the next loan. */
--- a/packages/decisions/rate-bound.test.ts
+++ b/packages/decisions/rate-bound.test.ts
@@ -1,14 +1,14 @@
 import {expect} from 'chai';
 import fc from 'fast-check';
 import {addLoan} from './add-loan.ts';
-import {createPurse} from './create-purse.ts';
-import {lendStock} from './lend-stock.ts';
+import {createLoanAccount} from './create-loan-account.ts';
+import {lendStandbyUnits} from './lend-standby-units.ts';
 import {lendUnits} from './lend-units.ts';
-import {settlePurse} from './settle-purse.ts';
+import {settleLoanAccount} from './settle-loan-account.ts';
 import {spendUnits} from './spend-units.ts';
 import type {HomeBucket} from './home-bucket.ts';
-import type {Purse} from './purse.ts';
-import type {StandbyStock} from './standby-stock.ts';
+import type {LoanAccount} from './loan-account.ts';
+import type {StandbyLoan} from './standby-loan.ts';
 
 const rate = 50;
 const burst = 40;
@@ -60,17 +60,17 @@
 function play(schedule: readonly Happening[]): ReadonlyArray<{readonly at: number; readonly cost: number}> {
 	let now = 0;
 	let home: HomeBucket = {level: 0, refilledAt: 0, loans: []};
-	let stock: StandbyStock = {id: 0, units: 0, expiresAt: 0};
+	let stock: StandbyLoan = {id: 0, units: 0, expiresAt: 0};
 	let homeNumber = 0;
 	let incarnation = 0;
 	const names = ['a', 'b', 'c', 'd'];
-	const purses = new Map<number, Purse>();
+	const purses = new Map<number, LoanAccount>();
 	const messages: Message[] = [];
 	const admitted: Array<{at: number; cost: number}> = [];
 
 	const ask = (host: number, {wanted, needed}: {readonly wanted: number; readonly needed: number}) => {
 		const name = names[host] ?? '';
-		const {purse, settled, id} = settlePurse(purses.get(host) ?? createPurse(now));
+		const {account: purse, settled, id} = settleLoanAccount(purses.get(host) ?? createLoanAccount(now));
 		const askedAt = now;
 		const number = homeNumber;
 		purses.set(host, purse);
@@ -82,7 +82,7 @@
 				messages.push({
 					arrive() {
 						if (names[host] === name) {
-							purses.set(host, addLoan(purses.get(host) ?? createPurse(now), {id, units, expiresAt: askedAt + span}));
+							purses.set(host, addLoan(purses.get(host) ?? createLoanAccount(now), {id, units, expiresAt: askedAt + span}));
 						}
 					},
 				});
@@ -116,17 +116,17 @@
 	};
 
 	const borrowStock = (host: number, wanted: number) => {
-		const lent = lendStock(stock, {
+		const lent = lendStandbyUnits(stock, {
 			needed: wanted, longestSpan: span, driftMargin, now,
 		});
-		({stock} = lent);
-		const {purse, id} = settlePurse(purses.get(host) ?? createPurse(now));
+		({loan: stock} = lent);
+		const {account: purse, id} = settleLoanAccount(purses.get(host) ?? createLoanAccount(now));
 		purses.set(host, addLoan(purse, {id, units: lent.units, expiresAt: now + lent.span}));
 	};
 
 	const request = (host: number, cost: number): boolean => {
-		const spent = spendUnits(purses.get(host) ?? createPurse(now), {cost, isFirst: true, now});
-		purses.set(host, spent.purse);
+		const spent = spendUnits(purses.get(host) ?? createLoanAccount(now), {cost, isFirst: true, now});
+		purses.set(host, spent.account);
 		if (spent.isSpent) {
 			admitted.push({at: now, cost});
 		}
--- a/packages/decisions/settle-purse.ts
+++ b/packages/decisions/settle-loan-account.ts
@@ -1,4 +1,4 @@
-import type {Purse} from './purse.ts';
+import type {LoanAccount} from './loan-account.ts';
 
 /** What a borrower tells the home of its earlier loans, by the loan's number. */
 type Settled = ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>;
@@ -9,7 +9,7 @@
  * What is given back is gone from the purse before the home hears of it. A report that is lost frees nothing:
  * the home takes the loans for used up when they expire.
  */
-export function settlePurse(purse: Purse): {readonly purse: Purse; readonly settled: Settled; readonly id: number} {
-	const settled = purse.loans.map(({id, used, units}) => ({id, used, returned: units}));
-	return {purse: {...purse, loans: [], nextId: purse.nextId + 1}, settled, id: purse.nextId};
+export function settleLoanAccount(account: LoanAccount): {readonly account: LoanAccount; readonly settled: Settled; readonly id: number} {
+	const settled = account.loans.map(({id, used, units}) => ({id, used, returned: units}));
+	return {account: {...account, loans: [], nextId: account.nextId + 1}, settled, id: account.nextId};
 }
--- a/packages/decisions/spend-units.ts
+++ b/packages/decisions/spend-units.ts
@@ -1,4 +1,4 @@
-import type {Purse} from './purse.ts';
+import type {LoanAccount} from './loan-account.ts';
 
 /** Milliseconds in which the memory of demand fades to a third. */
 const demandFade = 1000;
@@ -8,22 +8,22 @@
  *
  * A loan that has expired is worth nothing, also when the host was paused since it was made.
  *
- * @param purse The loans.
+ * @param account The loans.
  * @param options The cost in units, whether the request asks for the first time, and monotonic milliseconds.
  */
 export function spendUnits(
-	purse: Purse,
+	account: LoanAccount,
 	options: {readonly cost: number; readonly isFirst: boolean; readonly now: number},
-): {readonly purse: Purse; readonly isSpent: boolean} {
+): {readonly account: LoanAccount; readonly isSpent: boolean} {
 	const {cost, now} = options;
-	const live = purse.loans.filter(({expiresAt}) => expiresAt > now);
-	const demand = (purse.demand * Math.exp((purse.demandAt - now) / demandFade)) + (options.isFirst ? cost : 0);
+	const live = account.loans.filter(({expiresAt}) => expiresAt > now);
+	const demand = (account.demand * Math.exp((account.demandAt - now) / demandFade)) + (options.isFirst ? cost : 0);
 	const known = {
-		...purse, loans: live, demand, demandAt: now,
+		...account, loans: live, demand, demandAt: now,
 	};
 	const units = live.reduce((sum, loan) => sum + loan.units, 0);
 	if (units < cost) {
-		return {purse: known, isSpent: false};
+		return {account: known, isSpent: false};
 	}
 
 	let left = cost;
@@ -32,5 +32,5 @@
 		left -= spent;
 		return {...loan, units: loan.units - spent, used: loan.used + spent};
 	});
-	return {purse: {...known, loans}, isSpent: true};
+	return {account: {...known, loans}, isSpent: true};
 }
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -1,6 +1,6 @@
 import {
-	addLoan, createPurse, findHome, findStandby, isRosterProven, settlePurse, spendUnits,
-	type AdmittedRequest, type HostState, type Purse,
+	addLoan, createLoanAccount, findHome, findStandby, isRosterProven, settleLoanAccount, spendUnits,
+	type AdmittedRequest, type HostState, type LoanAccount,
 } from '@sapphirefall/decisions';
 import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
 import type {Metrics} from '@sapphirefall/operators';
@@ -40,14 +40,14 @@
  */
 export function createBorrower(options: Options): Borrower {
 	const {self, settings, now} = options;
-	const purses = new Map<string, Purse>();
+	const purses = new Map<string, LoanAccount>();
 	/** Until when the standby of a workspace is not asked again. */
 	const emptyUntil = new Map<string, number>();
 	const borrowing = new Map<string, Promise<Borrowed>>();
 
 	const isProven = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
 
-	const readPurse = (workspace: string) => purses.get(workspace) ?? createPurse(now());
+	const readPurse = (workspace: string) => purses.get(workspace) ?? createLoanAccount(now());
 
 	/** Asks a host for units, and puts them into the purse; undefined when it does not answer or does not lend. */
 	const askLender = async (lender: string | undefined, asked: Asked): Promise<BorrowGranted | undefined> => {
@@ -72,7 +72,7 @@
 	/** Asks the home for units, and its standby when the home does not give them. */
 	const borrowNow = async ({workspace, cost}: AdmittedRequest): Promise<Borrowed> => {
 		const state = options.readState();
-		const {purse, settled, id} = settlePurse(readPurse(workspace));
+		const {account: purse, settled, id} = settleLoanAccount(readPurse(workspace));
 		purses.set(workspace, purse);
 		const wanted = cost + (purse.demand * settings.prefetch / 1000);
 		const asked = {
@@ -88,8 +88,8 @@
 			return answer;
 		}
 
-		const second = settlePurse(readPurse(workspace));
-		purses.set(workspace, second.purse);
+		const second = settleLoanAccount(readPurse(workspace));
+		purses.set(workspace, second.account);
 		const lent = await askLender(findStandby(workspace, state), {...asked, id: second.id, settled: []});
 		if ((lent?.units ?? 0) > 0) {
 			return {isReached: true, retryAfter: 0};
@@ -120,7 +120,7 @@
 		}
 
 		const spent = spendUnits(readPurse(request.workspace), {cost: request.cost, isFirst, now: now()});
-		purses.set(request.workspace, spent.purse);
+		purses.set(request.workspace, spent.account);
 		return spent.isSpent;
 	};
 
--- a/packages/proxy/create-standby-stocks.ts
+++ b/packages/proxy/create-standby-stocks.ts
@@ -1,5 +1,5 @@
 import {
-	findHome, lendStock, type HostState, type StandbyStock,
+	findHome, lendStandbyUnits, type HostState, type StandbyLoan,
 } from '@sapphirefall/decisions';
 import type {HostFile} from '@sapphirefall/settings';
 import {driftMargin} from './drift-margin.ts';
@@ -26,7 +26,7 @@
  */
 export function createStandbyStocks(options: Options): StandbyStocks {
 	const {now, settings} = options;
-	const stocks = new Map<string, StandbyStock>();
+	const stocks = new Map<string, StandbyLoan>();
 	let lastId = 0;
 
 	const renew = async (workspace: string) => {
@@ -59,10 +59,10 @@
 				return undefined;
 			}
 
-			const lent = lendStock(stock, {
+			const lent = lendStandbyUnits(stock, {
 				...asked, longestSpan: settings.loanSpan, driftMargin, now: now(),
 			});
-			stocks.set(asked.workspace, lent.stock);
+			stocks.set(asked.workspace, lent.loan);
 			return {units: lent.units, span: lent.span, retryAfter: lent.units > 0 ? 0 : emptyRetry};
 		},
 	};
