--- a/packages/callers/decode-request.ts
+++ b/packages/callers/decode-request.ts
@@ -22,7 +22,7 @@
 		database: message.database,
 		statements: message.statements.map(statement => decodeStatement(statement)),
 		kind: decodeKind(message.kind),
-		patience: message.deadlineMs,
+		timeout: message.deadlineMs,
 		session: message.session,
 	};
 }
--- a/packages/decisions/add-item.ts
+++ b/packages/decisions/add-item.ts
@@ -10,6 +10,6 @@
 	return {
 		...queue,
 		waiting: new Map(queue.waiting).set(workspace, [...(items ?? []), item]),
-		turns: items === undefined ? [...queue.turns, workspace] : queue.turns,
+		activeWorkspaces: items === undefined ? [...queue.activeWorkspaces, workspace] : queue.activeWorkspaces,
 	};
 }
--- a/packages/decisions/add-request.ts
+++ b/packages/decisions/add-retry-credit.ts
@@ -7,6 +7,6 @@
 const savedLimit = 200;
 
 /** Adds what one first attempt of a request allows in retries. */
-export function addRequest(budget: RetryBudget): RetryBudget {
+export function addRetryCredit(budget: RetryBudget): RetryBudget {
 	return {retries: Math.min(savedLimit, budget.retries + retryShare)};
 }
--- a/packages/decisions/admit-request.test.ts
+++ b/packages/decisions/admit-request.test.ts
@@ -40,7 +40,7 @@
 	database: 'pondbook',
 	statements: [{sql: 'SELECT 1', parameters: []}],
 	kind: {kind: 'read', freshness: 'latest', readKind: ''},
-	patience: 0,
+	timeout: 0,
 	session: '',
 };
 
@@ -48,12 +48,12 @@
 
 const context = {
 	configuration,
-	provenAt: 9000,
+	confirmedAt: 9000,
 	staleAfter: 4000,
 	databases: new Set(['pondbook', 'orders']),
 	isDraining: false,
-	defaultPatience: 5000,
-	longestPatience: 30_000,
+	defaultTimeout: 5000,
+	maxTimeout: 30_000,
 	readSession: (token: string) => claims[token],
 	now: 10_000,
 };
@@ -65,7 +65,7 @@
 	const refused: ReadonlyArray<readonly [string, Request, Partial<typeof context>, number]> = [
 		['no key', {...read, keyDigest: ''}, {}, resultCodes.keyMissing],
 		['a withdrawn key', {...read, keyDigest: 'other'}, {}, resultCodes.keyUnknown],
-		['a configuration that is not proven', read, {provenAt: 5999}, resultCodes.configurationStale],
+		['a configuration that is not proven', read, {confirmedAt: 5999}, resultCodes.configurationStale],
 		['a draining host', read, {isDraining: true}, resultCodes.draining],
 		['an unknown database', {...read, database: 'other'}, {}, resultCodes.unknownDatabase],
 		['a database of others', {...read, database: 'orders'}, {}, resultCodes.databaseNotAllowed],
@@ -81,7 +81,7 @@
 		['an unknown kind of read', withFreshness('', 'other'), {}, resultCodes.unknownFreshness],
 		['a forged session token', {...read, session: 'forged'}, {}, resultCodes.sessionInvalid],
 		['a foreign session token', {...read, session: 'foreign'}, {}, resultCodes.sessionForeign],
-		['too long a deadline', {...read, patience: 30_001}, {}, resultCodes.deadlineExpired],
+		['too long a deadline', {...read, timeout: 30_001}, {}, resultCodes.deadlineExpired],
 		['a write without idempotency key', {...write, kind: {kind: 'write', idempotencyKey: '', isRepeatable: false}}, {}, resultCodes.idempotencyKeyMissing],
 		['a long identifier', {...read, requestId: 'r'.repeat(201)}, {}, resultCodes.tooLarge],
 	];
@@ -114,7 +114,7 @@
 	it('admits an open route without a key, also when the configuration is not proven', () => {
 		const admission = admitRequest({
 			...read, keyDigest: '', route: 'levels', database: '', statements: [],
-		}, {...context, provenAt: -Infinity});
+		}, {...context, confirmedAt: -Infinity});
 		expect(admission).to.have.nested.property('request.workspace', 'upper');
 		expect(admission).to.have.nested.property('request.statements').that.deep.equals([{sql: 'SELECT level FROM pond', parameters: []}]);
 	});
--- a/packages/decisions/admit-request.ts
+++ b/packages/decisions/admit-request.ts
@@ -13,17 +13,17 @@
 import type {ResultCode} from './result-code.ts';
 import type {SessionClaim} from './session-claim.ts';
 
-type Context = {
+type AdmissionContext = {
 	readonly configuration: Configuration;
 	/** Monotonic milliseconds at which the configuration was last proven to be the newest. */
-	readonly provenAt: number;
+	readonly confirmedAt: number;
 	/** Milliseconds for which that proof allows keyed requests. */
 	readonly staleAfter: number;
 	readonly databases: ReadonlySet<string>;
 	readonly isDraining: boolean;
 	/** Milliseconds that a caller waits who names no deadline. */
-	readonly defaultPatience: number;
-	readonly longestPatience: number;
+	readonly defaultTimeout: number;
+	readonly maxTimeout: number;
 	/** Reads a session token; undefined when it is not one of this fleet's. */
 	readonly readSession: (token: string) => SessionClaim | undefined;
 	readonly now: number;
@@ -56,7 +56,7 @@
  * @param context The configuration in force, what proves it, and monotonic milliseconds.
  * @returns The admitted request without its key, or a "not run" answer with the reason.
  */
-export function admitRequest(request: Request, context: Context): Admission {
+export function admitRequest(request: Request, context: AdmissionContext): Admission {
 	try {
 		return {kind: 'admitted', request: createAdmitted(request, context)};
 	} catch (error) {
@@ -68,7 +68,7 @@
 	}
 }
 
-function createAdmitted(request: Request, context: Context): AdmittedRequest {
+function createAdmitted(request: Request, context: AdmissionContext): AdmittedRequest {
 	if (context.isDraining) {
 		throw new Refusal(resultCodes.draining, 'the host is shutting down; another host takes the request', 1);
 	}
@@ -85,19 +85,19 @@
 
 type Work = Omit<AdmittedRequest, 'arrivedAt' | 'deadline' | 'requestId'>;
 
-function choosePatience(request: Request, context: Context): number {
-	if (request.patience > context.longestPatience) {
+function choosePatience(request: Request, context: AdmissionContext): number {
+	if (request.timeout > context.maxTimeout) {
 		throw new Refusal(
 			resultCodes.deadlineExpired,
-			`the deadline of ${request.patience} ms is longer than the ${context.longestPatience} ms allowed`,
+			`the deadline of ${request.timeout} ms is longer than the ${context.maxTimeout} ms allowed`,
 		);
 	}
 
-	return request.patience === 0 ? context.defaultPatience : request.patience;
+	return request.timeout === 0 ? context.defaultTimeout : request.timeout;
 }
 
 /** Admits an open route: a statement that an operator wrote, paid for by a workspace that an operator named. */
-function admitRoute(request: Request, context: Context): Work {
+function admitRoute(request: Request, context: AdmissionContext): Work {
 	const route = context.configuration.routes[request.route];
 	if (route === undefined) {
 		throw new Refusal(resultCodes.unknownRoute, `the route "${request.route}" does not exist`);
@@ -116,7 +116,7 @@
 	};
 }
 
-function admitKeyed(request: Request, context: Context): Work {
+function admitKeyed(request: Request, context: AdmissionContext): Work {
 	const workspace = authenticate(request, context);
 	checkShape(request);
 	if (!context.databases.has(request.database)) {
@@ -141,12 +141,12 @@
 	};
 }
 
-function authenticate(request: Request, context: Context): string {
+function authenticate(request: Request, context: AdmissionContext): string {
 	if (request.keyDigest === '') {
 		throw new Refusal(resultCodes.keyMissing, 'the request has no key in its Authorization header');
 	}
 
-	if (context.now - context.provenAt > context.staleAfter) {
+	if (context.now - context.confirmedAt > context.staleAfter) {
 		throw new Refusal(
 			resultCodes.configurationStale,
 			'the host cannot prove that the key is still valid',
@@ -187,7 +187,7 @@
 
 function admitWork(
 	request: Request,
-	options: {readonly context: Context; readonly workspace: string},
+	options: {readonly context: AdmissionContext; readonly workspace: string},
 ): AdmittedRequest['work'] {
 	const {kind} = request;
 	if (kind.kind === 'read') {
@@ -207,7 +207,7 @@
 
 function chooseFreshness(
 	kind: Extract<Request['kind'], {readonly kind: 'read'}>,
-	options: {readonly context: Context; readonly workspace: string},
+	options: {readonly context: AdmissionContext; readonly workspace: string},
 ): Freshness {
 	const {configuration} = options.context;
 	const freshness = kind.freshness === ''
@@ -226,7 +226,7 @@
 
 function readPoint(
 	request: Request,
-	options: {readonly context: Context; readonly workspace: string},
+	options: {readonly context: AdmissionContext; readonly workspace: string},
 ): LogPoint | undefined {
 	if (request.session === '') {
 		return undefined;
--- a/packages/decisions/adopt-fleet.ts
+++ b/packages/decisions/adopt-fleet.ts
@@ -1,4 +1,4 @@
-import {settleSpan} from './settle-span.ts';
+import {pendingWriteTimeoutMs} from './pending-write-timeout-ms.ts';
 import type {FleetConfiguration} from './fleet-configuration.ts';
 import type {HostState} from './host-state.ts';
 import type {HostStep} from './host-step.ts';
@@ -35,7 +35,7 @@
 			homesKnownAt: hasNewHomes ? read.now : state.homesKnownAt,
 			rosterHistory: extendRosterHistory(state.rosterHistory, {hosts: roster.hosts, at: read.now}),
 			provenAt,
-			speaksFrom: Math.min(state.speaksFrom, read.now + settleSpan),
+			speaksFrom: Math.min(state.speaksFrom, read.now + pendingWriteTimeoutMs),
 			statements: new Map(),
 		},
 		effects: isNew ? [{kind: 'tellConfiguration', version: configuration.version}] : [],
--- a/packages/decisions/choose-loan.ts
+++ b/packages/decisions/choose-loan-size.ts
@@ -9,7 +9,7 @@
  * @param level Units that there are.
  * @param asked The units without which the loan is of no use, and those that are wanted.
  */
-export function chooseLoan(
+export function chooseLoanSize(
 	level: number,
 	{needed, wanted}: {readonly needed: number; readonly wanted: number},
 ): number {
--- a/packages/decisions/create-fair-queue.ts
+++ b/packages/decisions/create-fair-queue.ts
@@ -2,5 +2,5 @@
 
 /** Creates an empty fair queue. */
 export function createFairQueue<Item>(): FairQueue<Item> {
-	return {waiting: new Map(), turns: [], deficits: new Map()};
+	return {waiting: new Map(), activeWorkspaces: [], deficits: new Map()};
 }
--- a/packages/decisions/drop-items.ts
+++ b/packages/decisions/drop-items.ts
@@ -6,5 +6,5 @@
 		.map(([workspace, items]) => [workspace, items.filter(item => !isDropped(item))] as const)
 		.filter(([, items]) => items.length > 0));
 	const deficits = new Map([...queue.deficits].filter(([workspace]) => waiting.has(workspace)));
-	return {waiting, deficits, turns: queue.turns.filter(workspace => waiting.has(workspace))};
+	return {waiting, deficits, activeWorkspaces: queue.activeWorkspaces.filter(workspace => waiting.has(workspace))};
 }
--- a/packages/decisions/fair-queue.ts
+++ b/packages/decisions/fair-queue.ts
@@ -8,7 +8,7 @@
 	/** Waiting items by workspace, oldest first; workspaces without any are absent. */
 	readonly waiting: ReadonlyMap<string, readonly Item[]>;
 	/** Workspaces in the order of their turns. */
-	readonly turns: readonly string[];
+	readonly activeWorkspaces: readonly string[];
 	/** Cost that each workspace may still spend in its turn. */
 	readonly deficits: ReadonlyMap<string, number>;
 };
--- a/packages/decisions/lend-units.ts
+++ b/packages/decisions/lend-units.ts
@@ -1,4 +1,4 @@
-import {chooseLoan} from './choose-loan.ts';
+import {chooseLoanSize} from './choose-loan-size.ts';
 import type {HomeBucket} from './home-bucket.ts';
 
 type Asked = {
@@ -47,7 +47,7 @@
 	const elapsed = Math.max(0, now - bucket.refilledAt);
 	const refilled = bucket.level + sumReturned(open, asked) + (elapsed * rate / millisecondsPerSecond);
 	const level = Math.max(0, Math.min(burst - sumUnits(loans), refilled));
-	const units = chooseLoan(level, asked);
+	const units = chooseLoanSize(level, asked);
 	const lent = units > 0
 		? [...loans, {
 			host: asked.host, id: asked.id, units, expiresAt: now + asked.span,
--- a/packages/decisions/settle-span.ts
+++ b/packages/decisions/pending-write-timeout-ms.ts
@@ -1,2 +1,2 @@
 /** Milliseconds after which a write to the table that got no answer can no longer take effect. */
-export const settleSpan = 5000;
+export const pendingWriteTimeoutMs = 5000;
--- a/packages/decisions/request.ts
+++ b/packages/decisions/request.ts
@@ -10,7 +10,7 @@
 	readonly statements: readonly SqlStatement[];
 	readonly kind: RequestKind;
 	/** Milliseconds that the caller is willing to wait; 0 means the default. */
-	readonly patience: number;
+	readonly timeout: number;
 	/** Session token; empty without one. */
 	readonly session: string;
 };
--- a/packages/decisions/take-item.ts
+++ b/packages/decisions/take-item.ts
@@ -1,6 +1,6 @@
 import type {FairQueue} from './fair-queue.ts';
 
-/** Cost that a workspace may spend in each of its turns. */
+/** Cost that a workspace may spend in each of its activeWorkspaces. */
 const quantum = 4;
 
 /**
@@ -15,9 +15,9 @@
 	findCost: (item: Item) => number,
 ): {readonly queue: FairQueue<Item>; readonly item: Item | undefined} {
 	const deficits = new Map(queue.deficits);
-	let {turns} = queue;
+	let {activeWorkspaces} = queue;
 	for (;;) {
-		const [workspace] = turns;
+		const [workspace] = activeWorkspaces;
 		const items = workspace === undefined ? undefined : queue.waiting.get(workspace);
 		const item = items?.[0];
 		if (workspace === undefined || items === undefined || item === undefined) {
@@ -27,11 +27,11 @@
 		const deficit = deficits.get(workspace) ?? quantum;
 		if (deficit >= findCost(item)) {
 			deficits.set(workspace, deficit - findCost(item));
-			return {queue: removeFirst({...queue, turns, deficits}, workspace), item};
+			return {queue: removeFirst({...queue, activeWorkspaces, deficits}, workspace), item};
 		}
 
 		deficits.set(workspace, deficit + quantum);
-		turns = [...turns.slice(1), workspace];
+		activeWorkspaces = [...activeWorkspaces.slice(1), workspace];
 	}
 }
 
@@ -46,5 +46,5 @@
 	waiting.delete(workspace);
 	const deficits = new Map(queue.deficits);
 	deficits.delete(workspace);
-	return {waiting, deficits, turns: queue.turns.filter(name => name !== workspace)};
+	return {waiting, deficits, activeWorkspaces: queue.activeWorkspaces.filter(name => name !== workspace)};
 }
--- a/packages/proxy/create-change-backend.ts
+++ b/packages/proxy/create-change-backend.ts
@@ -1,6 +1,6 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	resultCodes, settleSpan, type Change, type HostEvent, type HostState,
+	resultCodes, pendingWriteTimeoutMs, type Change, type HostEvent, type HostState,
 } from '@sapphirefall/decisions';
 import type {EventLog} from '@sapphirefall/events';
 import {decodeChange} from '@sapphirefall/operators';
@@ -48,7 +48,7 @@
 	/** Ends a commit whose outcome is not known once the table shows what became of it. */
 	const settleLater = async () => {
 		do {
-			await sleep(settleSpan); // eslint-disable-line no-await-in-loop -- each read follows a pause
+			await sleep(pendingWriteTimeoutMs); // eslint-disable-line no-await-in-loop -- each read follows a pause
 		} while (!await readVersion()); // eslint-disable-line no-await-in-loop
 
 		countCommits(-1);
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -1,5 +1,5 @@
 import {
-	addRequest, admitRequest, chooseGateway, createRefusal, findProvenAt, resultCodes, takeRetry,
+	addRetryCredit, admitRequest, chooseGateway, createRefusal, findProvenAt, resultCodes, takeRetry,
 	type AdmittedRequest, type Answer, type HostState, type Request, type RetryBudget, type SessionClaim,
 } from '@sapphirefall/decisions';
 import type {EventLog} from '@sapphirefall/events';
@@ -52,12 +52,12 @@
 		const {configuration, groups, isDraining} = state;
 		return admitRequest(request, {
 			configuration,
-			provenAt: findProvenAt(state),
+			confirmedAt: findProvenAt(state),
 			databases: new Set(groups.keys()),
 			isDraining,
 			staleAfter: settings.keys.staleAfter,
-			defaultPatience: settings.requests.defaultDeadline,
-			longestPatience: settings.requests.longestDeadline,
+			defaultTimeout: settings.requests.defaultDeadline,
+			maxTimeout: settings.requests.longestDeadline,
 			readSession: options.sessions.read,
 			now: now(),
 		});
@@ -70,7 +70,7 @@
 		}
 
 		options.demand(request.database);
-		budget = addRequest(budget);
+		budget = addRetryCredit(budget);
 		return executeRequest(request, {
 			group,
 			isGateway,
