--- a/packages/decisions/add-item.ts
+++ b/packages/decisions/add-item.ts
@@ -1,6 +1,6 @@
 import type {FairQueue} from './fair-queue.ts';
 
-/** Adds an item of a workspace to a fair queue; a workspace without waiting items gets the last turn. */
+/** Adds an item of a workspace to a fair queue. A workspace without waiting items is served last in the current round. */
 export function addItem<Item>(
 	queue: FairQueue<Item>,
 	added: {readonly workspace: string; readonly item: Item},
--- a/packages/decisions/add-retry-credit.ts
+++ b/packages/decisions/add-retry-credit.ts
@@ -1,12 +1,12 @@
 import type {RetryBudget} from './retry-budget.ts';
 
-/** Share of the requests that may be retries in the long run. */
-const retryShare = 0.2;
+/** Retries that each first attempt allows, so that retries add at most a fifth to the load in the long run. */
+const retriesPerRequest = 0.2;
 
-/** Retries that may be saved up; covers the requests that are under way when a primary fails. */
-const savedLimit = 200;
+/** Most retries that a budget can hold. Covers the requests that are in flight when a primary fails. */
+const maxSavedRetries = 200;
 
-/** Adds what one first attempt of a request allows in retries. */
+/** Adds the retries that the first attempt of one request allows. */
 export function addRetryCredit(budget: RetryBudget): RetryBudget {
-	return {retries: Math.min(savedLimit, budget.retries + retryShare)};
+	return {retries: Math.min(maxSavedRetries, budget.retries + retriesPerRequest)};
 }
--- a/packages/decisions/drop-items.ts
+++ b/packages/decisions/drop-items.ts
@@ -1,6 +1,6 @@
 import type {FairQueue} from './fair-queue.ts';
 
-/** Drops the items of a fair queue that a predicate names, such as those whose deadline has passed. */
+/** Removes the items of a fair queue that match a predicate, such as those whose deadline has passed. */
 export function dropItems<Item>(queue: FairQueue<Item>, isDropped: (item: Item) => boolean): FairQueue<Item> {
 	const waiting = new Map([...queue.waiting]
 		.map(([workspace, items]) => [workspace, items.filter(item => !isDropped(item))] as const)
--- a/packages/decisions/retry-budget.ts
+++ b/packages/decisions/retry-budget.ts
@@ -1,4 +1,5 @@
-/** Retries that a host may still make; a share of the requests adds to it, so that retries cannot multiply load. */
+/** The retry budget of a host. Each first attempt adds a fraction of a retry, so that retries cannot multiply the load. */
 export type RetryBudget = {
+	/** Retries that the host may still make; may be fractional. */
 	readonly retries: number;
 };
--- a/packages/decisions/take-item.ts
+++ b/packages/decisions/take-item.ts
@@ -1,14 +1,14 @@
 import type {FairQueue} from './fair-queue.ts';
 
-/** Cost that a workspace may spend in each of its activeWorkspaces. */
+/** Cost that each round adds to the deficit of a workspace. */
 const quantum = 4;
 
 /**
  * Takes the next item of a fair queue.
  *
  * @param queue The queue.
- * @param findCost The cost of an item, above 0.
- * @returns The queue afterwards and the item, or `undefined` when the queue is empty.
+ * @param findCost Returns the cost of an item, above 0.
+ * @returns The queue afterwards, and the item or `undefined` when the queue is empty.
  */
 export function takeItem<Item>(
 	queue: FairQueue<Item>,
@@ -37,9 +37,9 @@
 
 function removeFirst<Item>(queue: FairQueue<Item>, workspace: string): FairQueue<Item> {
 	const waiting = new Map(queue.waiting);
-	const rest = waiting.get(workspace)?.slice(1) ?? [];
-	if (rest.length > 0) {
-		waiting.set(workspace, rest);
+	const remainingItems = waiting.get(workspace)?.slice(1) ?? [];
+	if (remainingItems.length > 0) {
+		waiting.set(workspace, remainingItems);
 		return {...queue, waiting};
 	}
 
