--- a/packages/decisions/add-loan.ts
+++ b/packages/decisions/add-loan.ts
@@ -1,6 +1,6 @@
 import type {LoanAccount} from './loan-account.ts';
 
-/** Adds a loan to a account. */
+/** Adds a loan to a loan account. A loan of 0 units, which the lender grants when it has too few, changes nothing. */
 export function addLoan(
 	account: LoanAccount,
 	loan: {readonly id: number; readonly units: number; readonly expiresAt: number},
--- a/packages/decisions/choose-loan-size.ts
+++ b/packages/decisions/choose-loan-size.ts
@@ -1,17 +1,17 @@
-/** Share of what the need leaves that may be lent ahead of demand. */
-const aheadShare = 0.25;
+/** Share of the units beyond the need that a lender grants ahead of demand. */
+const prefetchShare = 0.25;
 
 /**
- * Chooses how many units to lend: none that would not cover the need, and beyond it only a part of what is left.
+ * Chooses how many units to lend: 0 when the need is not covered, else the need and a share of the remaining units.
  *
- * Units that lie unused at one host are missing at the others, the more so the fewer there are.
+ * Units that one host holds unused are unavailable to the other hosts, which matters more the fewer units remain.
  *
- * @param level Units that there are.
- * @param asked The units without which the loan is of no use, and those that are wanted.
+ * @param level Units available.
+ * @param asked The units without which the loan is of no use, and the units that the borrower would like.
  */
 export function chooseLoanSize(
 	level: number,
 	{needed, wanted}: {readonly needed: number; readonly wanted: number},
 ): number {
-	return level < needed ? 0 : Math.min(wanted, needed + ((level - needed) * aheadShare));
+	return level < needed ? 0 : Math.min(wanted, needed + ((level - needed) * prefetchShare));
 }
--- a/packages/decisions/choose-reserve-share.ts
+++ b/packages/decisions/choose-reserve-share.ts
@@ -1,12 +1,13 @@
 import type {HostState} from './host-state.ts';
 
 /**
- * Chooses the share of the reserves that a host may use.
+ * Chooses the share of each workspace's reserve (the part of its rate and burst that is split evenly over the hosts)
+ * that a host may use.
  *
- * A host that is cut off goes on with its share for a span after its last proof of the roster. So a host uses
- * no share before it has been listed for that long, and shares as if no host had left within it.
+ * A partitioned host keeps using its share for `span` milliseconds after it last confirmed the roster. So a host
+ * gets no share until it has been listed for that long, and hosts that left within that time still count.
  *
- * @param history Lists of the roster's hosts and when each became known here, oldest first.
+ * @param history Lists of the roster's hosts, and when this host learned of each, oldest first.
  * @param options This host, the span in milliseconds, and monotonic milliseconds.
  * @returns The share, from 0 to 1.
  */
@@ -14,11 +15,11 @@
 	history: HostState['rosterHistory'],
 	options: {readonly self: string; readonly span: number; readonly now: number},
 ): number {
-	const before = options.now - options.span;
-	const inForce = history.filter((_, index) => (history[index + 1]?.at ?? Infinity) > before);
+	const cutoff = options.now - options.span;
+	const inForce = history.filter((_, index) => (history[index + 1]?.at ?? Infinity) > cutoff);
 	const [oldest] = inForce;
 	const isListed = inForce.every(({hosts}) => hosts.includes(options.self));
-	if (oldest === undefined || oldest.at > before || !isListed) {
+	if (oldest === undefined || oldest.at > cutoff || !isListed) {
 		return 0;
 	}
 
--- a/packages/decisions/find-standby.ts
+++ b/packages/decisions/find-standby.ts
@@ -2,12 +2,15 @@
 import type {HostState} from './host-state.ts';
 
 /**
- * Finds the standby of a workspace's home: the next host by rank in another zone, or the next one at all.
+ * Finds the standby host of a workspace: the next host by rank in another zone than the home host's, else the next
+ * host by rank.
  *
- * When the home leaves the roster, alone or with its zone, its standby is the next home or that one's standby.
+ * When the home host leaves the roster, alone or with its zone, the standby host becomes the next home host or the
+ * standby host of that one.
  *
  * @param workspace The workspace.
- * @param state The roster and the zones of its hosts.
+ * @param state The roster, and the membership with the zones of its hosts.
+ * @returns The host's identifier, or `undefined` when the roster has fewer than two homes.
  */
 export function findStandby(
 	workspace: string,
--- a/packages/decisions/lend-standby-units.ts
+++ b/packages/decisions/lend-standby-units.ts
@@ -1,33 +1,37 @@
 import type {StandbyLoan} from './standby-loan.ts';
 
-type Asked = {
-	/** Units that the host cannot do without; neither less nor more is lent. */
+type StandbyLoanRequest = {
+	/** Units that the borrower needs; exactly this number is lent, or none. */
 	readonly needed: number;
-	/** Greatest milliseconds for which units are lent. */
+	/** Longest time in milliseconds for which units are lent. */
 	readonly longestSpan: number;
-	/** Share by which a loan ends before the stock, so that a borrower with a slower clock has stopped before. */
+	/**
+	 * Greatest ratio of two hosts' clock rates. The rest of the standby loan's time is divided by it, so that a
+	 * borrower with a slower clock stops before the standby loan expires.
+	 */
 	readonly driftMargin: number;
+	/** Monotonic milliseconds. */
 	readonly now: number;
 };
 
 /**
- * Lends units of a standby's stock.
+ * Lends units of the loan that a standby host holds.
  *
- * The home has taken the stock off its bucket and counts it as open until it expires, so that what is lent from
- * it is within the rate whatever has become of the home. What a borrower does not use would be lost, so nothing is
- * lent ahead of demand.
+ * The home host has taken the standby loan off its bucket and counts it as open until it expires, so units lent from
+ * it stay within the workspace's rate even when the home host has failed. Units that a borrower does not use are
+ * lost, so nothing is lent ahead of demand.
  *
- * @param loan The stock.
- * @param asked What the host asks for, and monotonic milliseconds.
- * @returns The stock, the units, and the milliseconds for which they may be used.
+ * @param loan The standby loan.
+ * @param request What the borrower asks for, and the present time.
+ * @returns The standby loan afterwards, the units lent, and the milliseconds for which they may be used.
  */
 export function lendStandbyUnits(
 	loan: StandbyLoan,
-	asked: Asked,
+	request: StandbyLoanRequest,
 ): {readonly loan: StandbyLoan; readonly units: number; readonly span: number} {
-	const left = (loan.expiresAt - asked.now) / asked.driftMargin;
-	const units = left > 0 && loan.units >= asked.needed ? asked.needed : 0;
+	const remaining = (loan.expiresAt - request.now) / request.driftMargin;
+	const units = remaining > 0 && loan.units >= request.needed ? request.needed : 0;
 	return {
-		loan: {...loan, units: loan.units - units}, units, span: Math.max(0, Math.floor(Math.min(left, asked.longestSpan))),
+		loan: {...loan, units: loan.units - units}, units, span: Math.max(0, Math.floor(Math.min(remaining, request.longestSpan))),
 	};
 }
--- a/packages/decisions/lend-units.test.ts
+++ b/packages/decisions/lend-units.test.ts
@@ -12,9 +12,9 @@
 
 describe('lendUnits', () => {
 	const settlements: ReadonlyArray<readonly [string, ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>, number]> = [
-		['frees nothing of a younger loan by a late report', [{id: 1, used: 40, returned: 0}], 0],
-		['frees what was used, which only time brings back', [{id: 2, used: 30, returned: 0}], 0],
-		['lends again what was given back', [{id: 2, used: 10, returned: 30}], 30],
+		['ignores a late report about a loan that is no longer open', [{id: 1, used: 40, returned: 0}], 0],
+		['does not return used units to the bucket', [{id: 2, used: 30, returned: 0}], 0],
+		['lends returned units again', [{id: 2, used: 10, returned: 30}], 30],
 	];
 	for (const [title, settled, units] of settlements) {
 		it(title, () => {
@@ -30,18 +30,18 @@
 		});
 	}
 
-	it('lends the whole rate to one host that asks all the time', () => {
+	it('lends the whole rate to a single host that asks continuously', () => {
 		let home: HomeBucket = {level: 0, refilledAt: 0, loans: []};
-		let purse = createLoanAccount(0);
+		let account = createLoanAccount(0);
 		let used = 0;
 		for (let now = 0; now <= 10_000; now += 10) {
-			const report = settleLoanAccount(purse);
+			const report = settleLoanAccount(account);
 			const lent = lendUnits(home, {
 				host: 'a', id: report.id, needed: 1, wanted: 5, settled: report.settled, rate, burst, span, now,
 			});
 			home = lent.bucket;
 			const spent = spendUnits(addLoan(report.account, {id: report.id, units: lent.units, expiresAt: now + span}), {cost: 1, isFirst: true, now});
-			({account: purse} = spent);
+			({account} = spent);
 			used += spent.isSpent ? 1 : 0;
 		}
 
--- a/packages/decisions/lend-units.ts
+++ b/packages/decisions/lend-units.ts
@@ -1,30 +1,34 @@
 import {chooseLoanSize} from './choose-loan-size.ts';
 import type {HomeBucket} from './home-bucket.ts';
 
-type Asked = {
-	/** Process that borrows; another one after a restart. */
+type LoanRequest = {
+	/** Process that borrows; a restarted host is another one. */
 	readonly host: string;
-	/** Number that the borrower gives the loan, a new one each time. */
+	/** Number that the borrower assigns to the loan, a new one each time. */
 	readonly id: number;
-	/** Units that the host cannot do without; less is not lent. */
+	/** Units without which the loan is of no use; fewer are not lent. */
 	readonly needed: number;
-	/** Units that the host would like. */
+	/** Units that the borrower would like. */
 	readonly wanted: number;
-	/** What the host has used of earlier loans since it last asked, and gives back of them, by the loan's number. */
+	/** Units of earlier loans that the borrower has used since its last request, and units that it returns, by loan. */
 	readonly settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>;
-	/** Units a second. */
+	/** Units per second. */
 	readonly rate: number;
-	/** Units. */
+	/** Capacity of the bucket in units. */
 	readonly burst: number;
-	/** Milliseconds after which the home takes the loan for used up; longer than the host may use it. */
+	/**
+	 * Milliseconds after which the home host counts the loan as used. Longer than the borrower may use the loan, so
+	 * that a borrower with a slower clock stops before.
+	 */
 	readonly span: number;
+	/** Monotonic milliseconds. */
 	readonly now: number;
 };
 
-type Lent = {
+type LoanResult = {
 	readonly bucket: HomeBucket;
 	readonly units: number;
-	/** Milliseconds until the needed units would be there; 0 when they were lent. */
+	/** Milliseconds until the bucket holds the needed units; 0 when they were lent. */
 	readonly retryAfter: number;
 };
 
@@ -33,30 +37,31 @@
 /**
  * Lends units of a workspace's bucket to a host.
  *
- * What can be lent and what is lent never exceed the burst together. So over any interval the units used on
- * all hosts are at most the burst plus the rate times the interval, whatever answers are lost and hosts die.
- * A loan that expires counts as used.
+ * The units that can be lent and the units on loan never exceed the burst together. So over any interval the units
+ * used on all hosts are at most the burst plus the rate times the interval, also when answers are lost and hosts
+ * fail. A loan that expires counts as used.
  *
- * @param bucket The bucket at the home.
- * @param asked What the host asks for, the limit in force, and monotonic milliseconds.
+ * @param bucket The bucket at the home host.
+ * @param request What the borrower asks for, the rate and burst in force, and the present time.
+ * @returns The bucket afterwards, the units lent, and when to ask again.
  */
-export function lendUnits(bucket: HomeBucket, asked: Asked): Lent {
-	const {now, rate, burst} = asked;
+export function lendUnits(bucket: HomeBucket, request: LoanRequest): LoanResult {
+	const {now, rate, burst} = request;
 	const open = bucket.loans.filter(({expiresAt}) => expiresAt > now);
-	const loans = settleLoans(open, asked);
+	const loans = settleLoans(open, request);
 	const elapsed = Math.max(0, now - bucket.refilledAt);
-	const refilled = bucket.level + sumReturned(open, asked) + (elapsed * rate / millisecondsPerSecond);
+	const refilled = bucket.level + sumReturned(open, request) + (elapsed * rate / millisecondsPerSecond);
 	const level = Math.max(0, Math.min(burst - sumUnits(loans), refilled));
-	const units = chooseLoanSize(level, asked);
+	const units = chooseLoanSize(level, request);
 	const lent = units > 0
 		? [...loans, {
-			host: asked.host, id: asked.id, units, expiresAt: now + asked.span,
+			host: request.host, id: request.id, units, expiresAt: now + request.span,
 		}]
 		: loans;
 	return {
 		bucket: {level: level - units, refilledAt: now, loans: lent},
 		units,
-		retryAfter: units > 0 ? 0 : Math.ceil((asked.needed - level) * millisecondsPerSecond / rate),
+		retryAfter: units > 0 ? 0 : Math.ceil((request.needed - level) * millisecondsPerSecond / rate),
 	};
 }
 
@@ -64,16 +69,16 @@
 	return loans.reduce((sum, {units}) => sum + units, 0);
 }
 
-/** Takes off the loans of a host what it has used and gives back; a loan that is gone has been settled already. */
-function settleLoans(loans: HomeBucket['loans'], {host, settled}: Asked): HomeBucket['loans'] {
-	const taken = new Map(settled.map(({id, used, returned}) => [id, used + returned]));
+/** Subtracts the used and returned units of a host from its open loans; ignores loans that are no longer open. */
+function settleLoans(loans: HomeBucket['loans'], {host, settled}: LoanRequest): HomeBucket['loans'] {
+	const settledUnits = new Map(settled.map(({id, used, returned}) => [id, used + returned]));
 	return loans
-		.map(loan => loan.host === host ? {...loan, units: loan.units - (taken.get(loan.id) ?? 0)} : loan)
+		.map(loan => loan.host === host ? {...loan, units: loan.units - (settledUnits.get(loan.id) ?? 0)} : loan)
 		.filter(({units}) => units > 0);
 }
 
-/** Sums what a host gives back of loans that are still open. */
-function sumReturned(loans: HomeBucket['loans'], {host, settled}: Asked): number {
+/** Sums the units that a host returns of loans that are still open. */
+function sumReturned(loans: HomeBucket['loans'], {host, settled}: LoanRequest): number {
 	const openIds = new Set(loans.filter(loan => loan.host === host).map(({id}) => id));
 	let sum = 0;
 	for (const {id, returned} of settled) {
--- a/packages/decisions/loan-account.ts
+++ b/packages/decisions/loan-account.ts
@@ -1,19 +1,20 @@
-/** Units of a workspace that a host has on loan. Times are monotonic milliseconds. */
+/** The units of a workspace that a host has borrowed. Times are monotonic milliseconds. */
 export type LoanAccount = {
-	/** Loans, oldest first. */
+	/** Open loans, oldest first. */
 	readonly loans: readonly BorrowedLoan[];
-	/** Number of the next loan. */
+	/** Number that the host assigns to its next loan. */
 	readonly nextId: number;
-	/** Units asked for in the recent past, fading, from which the next loan's size follows. */
+	/** Exponentially decaying sum of the units that requests asked for, which sizes the next loan. */
 	readonly demand: number;
+	/** When `demand` was last updated. */
 	readonly demandAt: number;
 };
 
 type BorrowedLoan = {
 	readonly id: number;
-	/** Units left. */
+	/** Units that can still be spent. */
 	readonly units: number;
-	/** Units used; the home hears of them when the purse is settled. */
+	/** Units used; reported to the home host when the account is settled. */
 	readonly used: number;
 	readonly expiresAt: number;
 };
--- a/packages/decisions/rate-bound.test.ts
+++ b/packages/decisions/rate-bound.test.ts
@@ -19,11 +19,11 @@
 const runs = 400;
 
 /**
- * What happens next in a random schedule: time passes, a host asks, a message arrives or is lost, a request comes,
- * a host borrows in one quick round trip, uses all that it has, or restarts; the standby renews its stock or lends
- * from it, or the home is lost and another begins with the longest wait behind it.
+ * One step of a schedule: time passes; a host asks for a loan; a message arrives or is lost; a request arrives; a host
+ * borrows in one round trip without delay, spends all of its units, or restarts; the standby host renews its loan or
+ * lends from it; the home host fails and the next one starts after the longest wait for open loans.
  */
-type Happening =
+type ScheduleStep =
 	| {readonly kind: 'wait'; readonly milliseconds: number}
 	| {readonly kind: 'ask'; readonly host: number; readonly wanted: number}
 	| {readonly kind: 'deliver'; readonly pick: number}
@@ -33,10 +33,10 @@
 	| {readonly kind: 'useAll'; readonly host: number}
 	| {readonly kind: 'restart'; readonly host: number}
 	| {readonly kind: 'renew'; readonly pick: number}
-	| {readonly kind: 'borrowStock'; readonly host: number; readonly wanted: number}
+	| {readonly kind: 'borrowFromStandby'; readonly host: number; readonly wanted: number}
 	| {readonly kind: 'loseHome'};
 
-const happening: fc.Arbitrary<Happening> = fc.oneof(
+const scheduleStep: fc.Arbitrary<ScheduleStep> = fc.oneof(
 	{weight: 3, arbitrary: fc.record({kind: fc.constant('wait' as const), milliseconds: fc.oneof(fc.integer({min: 1, max: 20}), fc.integer({min: 300, max: 2300}))})},
 	{weight: 3, arbitrary: fc.record({kind: fc.constant('ask' as const), host: fc.integer({min: 0, max: 3}), wanted: fc.integer({min: 1, max: 30})})},
 	{weight: 4, arbitrary: fc.record({kind: fc.constant('deliver' as const), pick: fc.nat(20)})},
@@ -50,30 +50,30 @@
 	{weight: 3, arbitrary: fc.record({kind: fc.constant('useAll' as const), host: fc.integer({min: 0, max: 3})})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('restart' as const), host: fc.integer({min: 0, max: 3})})},
 	{weight: 3, arbitrary: fc.record({kind: fc.constant('renew' as const), pick: fc.nat(3)})},
-	{weight: 4, arbitrary: fc.record({kind: fc.constant('borrowStock' as const), host: fc.integer({min: 0, max: 3}), wanted: fc.integer({min: 1, max: 10})})},
+	{weight: 4, arbitrary: fc.record({kind: fc.constant('borrowFromStandby' as const), host: fc.integer({min: 0, max: 3}), wanted: fc.integer({min: 1, max: 10})})},
 	{weight: 1, arbitrary: fc.constant({kind: 'loseHome' as const})},
 );
 
 type Message = {readonly arrive: () => void};
 
-/** Plays a schedule and returns the admitted costs with their times. */
-function play(schedule: readonly Happening[]): ReadonlyArray<{readonly at: number; readonly cost: number}> {
+/** Runs a schedule and returns the admitted costs with their times. */
+function runSchedule(schedule: readonly ScheduleStep[]): ReadonlyArray<{readonly at: number; readonly cost: number}> {
 	let now = 0;
 	let home: HomeBucket = {level: 0, refilledAt: 0, loans: []};
-	let stock: StandbyLoan = {id: 0, units: 0, expiresAt: 0};
-	let homeNumber = 0;
+	let standbyLoan: StandbyLoan = {id: 0, units: 0, expiresAt: 0};
+	let homeGeneration = 0;
 	let incarnation = 0;
 	const names = ['a', 'b', 'c', 'd'];
-	const purses = new Map<number, LoanAccount>();
+	const accounts = new Map<number, LoanAccount>();
 	const messages: Message[] = [];
 	const admitted: Array<{at: number; cost: number}> = [];
 
 	const ask = (host: number, {wanted, needed}: {readonly wanted: number; readonly needed: number}) => {
 		const name = names[host] ?? '';
-		const {account: purse, settled, id} = settleLoanAccount(purses.get(host) ?? createLoanAccount(now));
+		const {account, settled, id} = settleLoanAccount(accounts.get(host) ?? createLoanAccount(now));
 		const askedAt = now;
-		const number = homeNumber;
-		purses.set(host, purse);
+		const number = homeGeneration;
+		accounts.set(host, account);
 		messages.push({
 			arrive() {
 				const units = lend({
@@ -82,7 +82,7 @@
 				messages.push({
 					arrive() {
 						if (names[host] === name) {
-							purses.set(host, addLoan(purses.get(host) ?? createLoanAccount(now), {id, units, expiresAt: askedAt + span}));
+							accounts.set(host, addLoan(accounts.get(host) ?? createLoanAccount(now), {id, units, expiresAt: askedAt + span}));
 						}
 					},
 				});
@@ -90,9 +90,9 @@
 		});
 	};
 
-	/** The home lends if it is the one that was asked, and the one before it has stopped. */
+	/** Lends at the home host, when it is the one that was asked and its predecessor has stopped lending. */
 	const lend = (asked: Omit<Parameters<typeof lendUnits>[1], 'rate' | 'burst' | 'now'>, number: number) => {
-		if (number !== homeNumber || now < home.refilledAt) {
+		if (number !== homeGeneration || now < home.refilledAt) {
 			return undefined;
 		}
 
@@ -104,29 +104,29 @@
 	};
 
 	const renew = (answerArrives: boolean) => {
-		const settled = [{id: stock.id, used: 0, returned: stock.units}];
-		const id = stock.id + 1;
-		stock = {id, units: 0, expiresAt: now};
+		const settled = [{id: standbyLoan.id, used: 0, returned: standbyLoan.units}];
+		const id = standbyLoan.id + 1;
+		standbyLoan = {id, units: 0, expiresAt: now};
 		const units = lend({
 			host: 'standby', id, needed: 0, wanted: standbyUnits, settled, span: standbySpan * driftMargin,
-		}, homeNumber);
+		}, homeGeneration);
 		if (units !== undefined && answerArrives) {
-			stock = {id, units, expiresAt: now + standbySpan};
+			standbyLoan = {id, units, expiresAt: now + standbySpan};
 		}
 	};
 
-	const borrowStock = (host: number, wanted: number) => {
-		const lent = lendStandbyUnits(stock, {
+	const borrowFromStandby = (host: number, wanted: number) => {
+		const lent = lendStandbyUnits(standbyLoan, {
 			needed: wanted, longestSpan: span, driftMargin, now,
 		});
-		({loan: stock} = lent);
-		const {account: purse, id} = settleLoanAccount(purses.get(host) ?? createLoanAccount(now));
-		purses.set(host, addLoan(purse, {id, units: lent.units, expiresAt: now + lent.span}));
+		({loan: standbyLoan} = lent);
+		const {account, id} = settleLoanAccount(accounts.get(host) ?? createLoanAccount(now));
+		accounts.set(host, addLoan(account, {id, units: lent.units, expiresAt: now + lent.span}));
 	};
 
 	const request = (host: number, cost: number): boolean => {
-		const spent = spendUnits(purses.get(host) ?? createLoanAccount(now), {cost, isFirst: true, now});
-		purses.set(host, spent.account);
+		const spent = spendUnits(accounts.get(host) ?? createLoanAccount(now), {cost, isFirst: true, now});
+		accounts.set(host, spent.account);
 		if (spent.isSpent) {
 			admitted.push({at: now, cost});
 		}
@@ -134,60 +134,60 @@
 		return spent.isSpent;
 	};
 
-	for (const next of schedule) {
-		switch (next.kind) {
+	for (const step of schedule) {
+		switch (step.kind) {
 			case 'wait': {
-				now += next.milliseconds;
+				now += step.milliseconds;
 				break;
 			}
 
 			case 'ask': {
-				ask(next.host, {wanted: next.wanted, needed: 1});
+				ask(step.host, {wanted: step.wanted, needed: 1});
 				break;
 			}
 
 			case 'deliver': {
-				messages.splice(next.pick % Math.max(1, messages.length), 1)[0]?.arrive();
+				messages.splice(step.pick % Math.max(1, messages.length), 1)[0]?.arrive();
 				break;
 			}
 
 			case 'lose': {
-				messages.splice(next.pick % Math.max(1, messages.length), 1);
+				messages.splice(step.pick % Math.max(1, messages.length), 1);
 				break;
 			}
 
 			case 'request': {
-				request(next.host, next.cost);
+				request(step.host, step.cost);
 				break;
 			}
 
 			case 'borrow': {
-				ask(next.host, next);
+				ask(step.host, step);
 				messages.pop()?.arrive();
 				messages.pop()?.arrive();
 				break;
 			}
 
 			case 'useAll': {
-				while (request(next.host, 1)) {
-					// The purse still holds a unit.
+				while (request(step.host, 1)) {
+					// The account still holds a unit.
 				}
 
 				break;
 			}
 
 			case 'renew': {
-				renew(next.pick > 0);
+				renew(step.pick > 0);
 				break;
 			}
 
-			case 'borrowStock': {
-				borrowStock(next.host, next.wanted);
+			case 'borrowFromStandby': {
+				borrowFromStandby(step.host, step.wanted);
 				break;
 			}
 
 			case 'loseHome': {
-				homeNumber++;
+				homeGeneration++;
 				const since = now + (span * driftMargin);
 				home = {
 					level: 0, refilledAt: since, loans: [{
@@ -199,8 +199,8 @@
 
 			case 'restart': {
 				incarnation++;
-				purses.delete(next.host);
-				names[next.host] = `${next.host}/${incarnation}`;
+				accounts.delete(step.host);
+				names[step.host] = `${step.host}/${incarnation}`;
 				break;
 			}
 		}
@@ -209,9 +209,9 @@
 	return admitted;
 }
 
-/** Checks that over any interval no more is admitted than the burst and the rate times the interval. */
-function checkAdmitted(schedule: readonly Happening[]): void {
-	const admitted = play(schedule);
+/** Checks that the cost admitted over any interval is at most the burst plus the rate times the interval. */
+function checkAdmitted(schedule: readonly ScheduleStep[]): void {
+	const admitted = runSchedule(schedule);
 	for (const [first, {at: from}] of admitted.entries()) {
 		let sum = 0;
 		for (const {at, cost} of admitted.slice(first)) {
@@ -221,39 +221,39 @@
 	}
 }
 
-/** A host borrows all it can get from the home and uses it, and another from the standby. */
-const useBoth: readonly Happening[] = [
-	...[30, 10].flatMap((units): readonly Happening[] => [
+/** One host borrows and spends all that the home host lends, another one all that the standby host lends. */
+const spendFromBoth: readonly ScheduleStep[] = [
+	...[30, 10].flatMap((units): readonly ScheduleStep[] => [
 		{
 			kind: 'borrow', host: 0, wanted: units, needed: units,
 		},
 		{kind: 'useAll', host: 0},
 	]),
-	{kind: 'borrowStock', host: 1, wanted: 9},
+	{kind: 'borrowFromStandby', host: 1, wanted: 9},
 	{kind: 'useAll', host: 1},
 ];
 
-const schedules: ReadonlyArray<readonly [string, readonly Happening[]]> = [
-	['a standby that lends beside its home', [
-		{kind: 'wait', milliseconds: 2000}, {kind: 'renew', pick: 1}, ...useBoth,
+const schedules: ReadonlyArray<readonly [string, readonly ScheduleStep[]]> = [
+	['a standby host that lends at the same time as its home host', [
+		{kind: 'wait', milliseconds: 2000}, {kind: 'renew', pick: 1}, ...spendFromBoth,
 	]],
-	['a standby that lends beside the next home', [
-		{kind: 'wait', milliseconds: 2000}, {kind: 'renew', pick: 1}, {kind: 'loseHome'}, {kind: 'wait', milliseconds: 3200}, ...useBoth,
+	['a standby host that lends at the same time as the next home host', [
+		{kind: 'wait', milliseconds: 2000}, {kind: 'renew', pick: 1}, {kind: 'loseHome'}, {kind: 'wait', milliseconds: 3200}, ...spendFromBoth,
 	]],
-	['a standby whose stock has run out of time', [
-		{kind: 'wait', milliseconds: 2000}, {kind: 'renew', pick: 1}, {kind: 'wait', milliseconds: 4500}, ...useBoth,
+	['a standby host whose loan has expired', [
+		{kind: 'wait', milliseconds: 2000}, {kind: 'renew', pick: 1}, {kind: 'wait', milliseconds: 4500}, ...spendFromBoth,
 	]],
 ];
 
-describe('the bound on rate and burst', () => {
+describe('the bound on admitted cost', () => {
 	for (const [title, schedule] of schedules) {
 		it(`admits no more than burst plus rate times the interval with ${title}`, () => {
 			checkAdmitted(schedule);
 		});
 	}
 
-	it('admits no more than burst plus rate times the interval, whatever is lost, late or restarted', () => {
-		fc.assert(fc.property(fc.array(happening, {minLength: 50, maxLength: 300}), schedule => {
+	it('admits no more than burst plus rate times the interval, when messages are lost or late and hosts restart', () => {
+		fc.assert(fc.property(fc.array(scheduleStep, {minLength: 50, maxLength: 300}), schedule => {
 			checkAdmitted(schedule);
 		}), {numRuns: runs});
 	});
--- a/packages/decisions/settle-loan-account.ts
+++ b/packages/decisions/settle-loan-account.ts
@@ -1,15 +1,17 @@
 import type {LoanAccount} from './loan-account.ts';
 
-/** What a borrower tells the home of its earlier loans, by the loan's number. */
-type Settled = ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>;
+/** A borrower's report to the home host: units used and units returned, by the number of the loan. */
+type SettlementReport = ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>;
 
 /**
- * Settles a purse that does not hold enough: reports what was used, gives the rest back, and numbers the next loan.
+ * Settles a loan account that holds too few units, before the host asks for the next loan.
  *
- * What is given back is gone from the purse before the home hears of it. A report that is lost frees nothing:
- * the home takes the loans for used up when they expire.
+ * The returned units leave the account before the home host receives the report, so that they are never spent twice.
+ * When the report is lost, the home host counts the loans as used once they expire.
+ *
+ * @returns The account without loans, the report for the home host, and the number of the next loan.
  */
-export function settleLoanAccount(account: LoanAccount): {readonly account: LoanAccount; readonly settled: Settled; readonly id: number} {
+export function settleLoanAccount(account: LoanAccount): {readonly account: LoanAccount; readonly settled: SettlementReport; readonly id: number} {
 	const settled = account.loans.map(({id, used, units}) => ({id, used, returned: units}));
 	return {account: {...account, loans: [], nextId: account.nextId + 1}, settled, id: account.nextId};
 }
--- a/packages/decisions/spend-units.ts
+++ b/packages/decisions/spend-units.ts
@@ -1,36 +1,38 @@
 import type {LoanAccount} from './loan-account.ts';
 
-/** Milliseconds in which the memory of demand fades to a third. */
-const demandFade = 1000;
+/** Time constant in milliseconds of the exponential decay of the demand. */
+const demandDecayMs = 1000;
 
 /**
- * Spends units that a host has on loan.
+ * Spends units that a host has borrowed.
  *
- * A loan that has expired is worth nothing, also when the host was paused since it was made.
+ * Units of an expired loan cannot be spent, also when the host's process was paused since the loan was made.
  *
- * @param account The loans.
- * @param options The cost in units, whether the request asks for the first time, and monotonic milliseconds.
+ * @param account The loan account.
+ * @param options The cost in units, whether this is the first attempt for the request (only then its cost counts as
+ * demand), and monotonic milliseconds.
+ * @returns The account afterwards, and whether it held enough units.
  */
 export function spendUnits(
 	account: LoanAccount,
 	options: {readonly cost: number; readonly isFirst: boolean; readonly now: number},
 ): {readonly account: LoanAccount; readonly isSpent: boolean} {
 	const {cost, now} = options;
-	const live = account.loans.filter(({expiresAt}) => expiresAt > now);
-	const demand = (account.demand * Math.exp((account.demandAt - now) / demandFade)) + (options.isFirst ? cost : 0);
-	const known = {
-		...account, loans: live, demand, demandAt: now,
+	const openLoans = account.loans.filter(({expiresAt}) => expiresAt > now);
+	const demand = (account.demand * Math.exp((account.demandAt - now) / demandDecayMs)) + (options.isFirst ? cost : 0);
+	const current = {
+		...account, loans: openLoans, demand, demandAt: now,
 	};
-	const units = live.reduce((sum, loan) => sum + loan.units, 0);
+	const units = openLoans.reduce((sum, loan) => sum + loan.units, 0);
 	if (units < cost) {
-		return {account: known, isSpent: false};
+		return {account: current, isSpent: false};
 	}
 
-	let left = cost;
-	const loans = live.map(loan => {
-		const spent = Math.min(left, loan.units);
-		left -= spent;
+	let remaining = cost;
+	const loans = openLoans.map(loan => {
+		const spent = Math.min(remaining, loan.units);
+		remaining -= spent;
 		return {...loan, units: loan.units - spent, used: loan.used + spent};
 	});
-	return {account: {...known, loans}, isSpent: true};
+	return {account: {...current, loans}, isSpent: true};
 }
--- a/packages/decisions/standby-loan.ts
+++ b/packages/decisions/standby-loan.ts
@@ -1,9 +1,9 @@
-/** Units of a workspace that a standby has on loan from the home, to lend on when the home cannot. */
+/** Units of a workspace that the standby host has borrowed from the home host, to lend when the home host cannot. */
 export type StandbyLoan = {
-	/** Number of the loan from the home. */
+	/** Number that the standby host assigned to the loan. */
 	readonly id: number;
-	/** Units left. */
+	/** Units that can still be lent. */
 	readonly units: number;
-	/** Monotonic milliseconds. */
+	/** Monotonic milliseconds after which the units cannot be lent. */
 	readonly expiresAt: number;
 };
