--- a/packages/decisions/admission.ts
+++ b/packages/decisions/admission.ts
@@ -1,7 +1,7 @@
 import type {AdmittedRequest} from './admitted-request.ts';
 import type {Answer} from './answer.ts';
 
-/** What becomes of a request at the door. */
+/** The outcome of admission: the request to run, or the answer that refuses it. */
 export type Admission =
 	| {readonly kind: 'admitted'; readonly request: AdmittedRequest}
 	| {readonly kind: 'refused'; readonly answer: Answer};
--- a/packages/decisions/admit-request.test.ts
+++ b/packages/decisions/admit-request.test.ts
@@ -65,23 +65,23 @@
 	const refused: ReadonlyArray<readonly [string, Request, Partial<typeof context>, number]> = [
 		['no key', {...read, keyDigest: ''}, {}, resultCodes.keyMissing],
 		['a withdrawn key', {...read, keyDigest: 'other'}, {}, resultCodes.keyUnknown],
-		['a configuration that is not proven', read, {confirmedAt: 5999}, resultCodes.configurationStale],
+		['a configuration that was not confirmed in time', read, {confirmedAt: 5999}, resultCodes.configurationStale],
 		['a draining host', read, {isDraining: true}, resultCodes.draining],
 		['an unknown database', {...read, database: 'other'}, {}, resultCodes.unknownDatabase],
-		['a database of others', {...read, database: 'orders'}, {}, resultCodes.databaseNotAllowed],
+		['a database that the workspace may not use', {...read, database: 'orders'}, {}, resultCodes.databaseNotAllowed],
 		['an unknown route', {...read, route: 'other'}, {}, resultCodes.unknownRoute],
 		['statements on a route', {...read, route: 'levels'}, {}, resultCodes.malformed],
 		['no statement', {...read, statements: []}, {}, resultCodes.malformed],
 		['an empty statement', withSql('  '), {}, resultCodes.malformed],
 		['a commit', withSql('COMMIT'), {}, resultCodes.malformed],
-		['a commit behind a comment', withSql('/* x */ -- y\n ;commit'), {}, resultCodes.malformed],
+		['a commit after a comment', withSql('/* x */ -- y\n ;commit'), {}, resultCodes.malformed],
 		['a pragma', withSql('PRAGMA query_only = OFF'), {}, resultCodes.malformed],
 		['the proxy\'s table', withSql('DELETE FROM SapphireFall_idempotency'), {}, resultCodes.malformed],
 		['an unknown freshness', withFreshness('soon', ''), {}, resultCodes.unknownFreshness],
 		['an unknown kind of read', withFreshness('', 'other'), {}, resultCodes.unknownFreshness],
 		['a forged session token', {...read, session: 'forged'}, {}, resultCodes.sessionInvalid],
-		['a foreign session token', {...read, session: 'foreign'}, {}, resultCodes.sessionForeign],
-		['too long a deadline', {...read, timeout: 30_001}, {}, resultCodes.deadlineExpired],
+		['a session token of another workspace', {...read, session: 'foreign'}, {}, resultCodes.sessionForeign],
+		['a timeout that is too long', {...read, timeout: 30_001}, {}, resultCodes.deadlineExpired],
 		['a write without idempotency key', {...write, kind: {kind: 'write', idempotencyKey: '', isRepeatable: false}}, {}, resultCodes.idempotencyKeyMissing],
 		['a long identifier', {...read, requestId: 'r'.repeat(201)}, {}, resultCodes.tooLarge],
 	];
@@ -96,7 +96,7 @@
 
 	const admitted: ReadonlyArray<readonly [string, Request, unknown, number]> = [
 		['a latest read', read, {kind: 'read', freshness: {kind: 'latest'}, point: undefined}, 4],
-		['a read of a kind', withFreshness('', 'report'), {kind: 'read', freshness: {kind: 'within', age: 10_000}, point: undefined}, 1],
+		['a read that names its kind', withFreshness('', 'report'), {kind: 'read', freshness: {kind: 'within', age: 10_000}, point: undefined}, 1],
 		['a session read', {...withFreshness('session', ''), session: 'own'}, {kind: 'read', freshness: {kind: 'session'}, point: {term: 2, position: 9n}}, 2],
 		['a write', write, {kind: 'write', idempotencyKey: 'k'}, 4],
 		['a repeatable write', {...write, kind: {kind: 'write', idempotencyKey: '', isRepeatable: true}}, {kind: 'write', idempotencyKey: ''}, 4],
@@ -111,7 +111,7 @@
 		});
 	}
 
-	it('admits an open route without a key, also when the configuration is not proven', () => {
+	it('admits an open route without a key, even when the configuration was never confirmed', () => {
 		const admission = admitRequest({
 			...read, keyDigest: '', route: 'levels', database: '', statements: [],
 		}, {...context, confirmedAt: -Infinity});
--- a/packages/decisions/admit-request.ts
+++ b/packages/decisions/admit-request.ts
@@ -15,31 +15,33 @@
 
 type AdmissionContext = {
 	readonly configuration: Configuration;
-	/** Monotonic milliseconds at which the configuration was last proven to be the newest. */
+	/** Monotonic milliseconds at which the configuration was last confirmed to be the newest. */
 	readonly confirmedAt: number;
-	/** Milliseconds for which that proof allows keyed requests. */
+	/** Milliseconds since the last confirmation after which the host refuses requests with a key. */
 	readonly staleAfter: number;
 	readonly databases: ReadonlySet<string>;
 	readonly isDraining: boolean;
-	/** Milliseconds that a caller waits who names no deadline. */
+	/** Timeout in milliseconds of a request that names none. */
 	readonly defaultTimeout: number;
+	/** Longest timeout in milliseconds that a request may name. */
 	readonly maxTimeout: number;
-	/** Reads a session token; undefined when it is not one of this fleet's. */
+	/** Reads a session token; `undefined` when the token is invalid or another fleet issued it. */
 	readonly readSession: (token: string) => SessionClaim | undefined;
+	/** Monotonic milliseconds. */
 	readonly now: number;
 };
 
-/** Milliseconds after which a caller may try again where the reason should pass soon. */
-const shortRetry = 500;
+/** Delay that the caller is told to wait before a retry when the cause of the refusal should pass soon. */
+const transientRetryMs = 500;
 
-/** Statements that one transaction may have. */
-const statementLimit = 1000;
+/** Most statements in one request, which run as one transaction. */
+const maxStatements = 1000;
 
-/** Characters of an idempotency key or a request id. */
-const identifierLimit = 200;
+/** Most characters of an idempotency key or a request ID. */
+const maxIdentifierLength = 200;
 
-/** Ends admission with a refusal; caught in {@link admitRequest}. */
-class Refusal extends Error {
+/** Ends admission with a refusal. {@link admitRequest} catches it and returns the refusal as an answer. */
+class RefusalError extends Error {
 	constructor(
 		readonly code: ResultCode,
 		readonly reason: string,
@@ -50,17 +52,17 @@
 }
 
 /**
- * Decides whether a request may run, for which workspace, and with which freshness.
+ * Decides whether a request may run, on behalf of which workspace, and with which freshness.
  *
- * @param request The request as it came.
- * @param context The configuration in force, what proves it, and monotonic milliseconds.
+ * @param request The request as received.
+ * @param context The configuration in force, when it was last confirmed, the host's limits, and the present time.
  * @returns The admitted request without its key, or a "not run" answer with the reason.
  */
 export function admitRequest(request: Request, context: AdmissionContext): Admission {
 	try {
 		return {kind: 'admitted', request: createAdmitted(request, context)};
 	} catch (error) {
-		if (error instanceof Refusal) {
+		if (error instanceof RefusalError) {
 			return {kind: 'refused', answer: createRefusal(error.code, error)};
 		}
 
@@ -70,24 +72,24 @@
 
 function createAdmitted(request: Request, context: AdmissionContext): AdmittedRequest {
 	if (context.isDraining) {
-		throw new Refusal(resultCodes.draining, 'the host is shutting down; another host takes the request', 1);
+		throw new RefusalError(resultCodes.draining, 'the host is shutting down; another host takes the request', 1);
 	}
 
 	const base = {
 		requestId: request.requestId,
 		arrivedAt: context.now,
-		deadline: context.now + choosePatience(request, context),
+		deadline: context.now + chooseTimeout(request, context),
 	};
 	return request.route === ''
-		? {...base, ...admitKeyed(request, context)}
-		: {...base, ...admitRoute(request, context)};
+		? {...base, ...admitKeyedRequest(request, context)}
+		: {...base, ...admitOpenRoute(request, context)};
 }
 
-type Work = Omit<AdmittedRequest, 'arrivedAt' | 'deadline' | 'requestId'>;
+type RequestContent = Omit<AdmittedRequest, 'arrivedAt' | 'deadline' | 'requestId'>;
 
-function choosePatience(request: Request, context: AdmissionContext): number {
+function chooseTimeout(request: Request, context: AdmissionContext): number {
 	if (request.timeout > context.maxTimeout) {
-		throw new Refusal(
+		throw new RefusalError(
 			resultCodes.deadlineExpired,
 			`the deadline of ${request.timeout} ms is longer than the ${context.maxTimeout} ms allowed`,
 		);
@@ -96,15 +98,19 @@
 	return request.timeout === 0 ? context.defaultTimeout : request.timeout;
 }
 
-/** Admits an open route: a statement that an operator wrote, paid for by a workspace that an operator named. */
-function admitRoute(request: Request, context: AdmissionContext): Work {
+/**
+ * Admits a request on an open route, which needs no key.
+ *
+ * An operator wrote the route's statement and chose the workspace that is charged for it.
+ */
+function admitOpenRoute(request: Request, context: AdmissionContext): RequestContent {
 	const route = context.configuration.routes[request.route];
 	if (route === undefined) {
-		throw new Refusal(resultCodes.unknownRoute, `the route "${request.route}" does not exist`);
+		throw new RefusalError(resultCodes.unknownRoute, `the route "${request.route}" does not exist`);
 	}
 
 	if (request.statements.length > 0 || request.database !== '') {
-		throw new Refusal(resultCodes.malformed, 'a request on an open route names neither a database nor statements');
+		throw new RefusalError(resultCodes.malformed, 'a request on an open route names neither a database nor statements');
 	}
 
 	return {
@@ -116,21 +122,21 @@
 	};
 }
 
-function admitKeyed(request: Request, context: AdmissionContext): Work {
+function admitKeyedRequest(request: Request, context: AdmissionContext): RequestContent {
 	const workspace = authenticate(request, context);
-	checkShape(request);
+	validateRequest(request);
 	if (!context.databases.has(request.database)) {
-		throw new Refusal(resultCodes.unknownDatabase, `the database "${request.database}" does not exist`);
+		throw new RefusalError(resultCodes.unknownDatabase, `the database "${request.database}" does not exist`);
 	}
 
 	if (context.configuration.workspaces[workspace]?.databases.includes(request.database) !== true) {
-		throw new Refusal(
+		throw new RefusalError(
 			resultCodes.databaseNotAllowed,
 			`the workspace "${workspace}" may not use the database "${request.database}"`,
 		);
 	}
 
-	const work = admitWork(request, {context, workspace});
+	const work = createWork(request, {context, workspace});
 	const {costs} = context.configuration;
 	return {
 		workspace,
@@ -143,60 +149,60 @@
 
 function authenticate(request: Request, context: AdmissionContext): string {
 	if (request.keyDigest === '') {
-		throw new Refusal(resultCodes.keyMissing, 'the request has no key in its Authorization header');
+		throw new RefusalError(resultCodes.keyMissing, 'the request has no key in its Authorization header');
 	}
 
 	if (context.now - context.confirmedAt > context.staleAfter) {
-		throw new Refusal(
+		throw new RefusalError(
 			resultCodes.configurationStale,
 			'the host cannot prove that the key is still valid',
-			shortRetry,
+			transientRetryMs,
 		);
 	}
 
 	const workspace = findWorkspace(context.configuration, request.keyDigest);
 	if (workspace === undefined) {
-		throw new Refusal(resultCodes.keyUnknown, 'the key was withdrawn or never given');
+		throw new RefusalError(resultCodes.keyUnknown, 'the key was withdrawn or never given');
 	}
 
 	return workspace;
 }
 
-function checkShape(request: Request): void {
+function validateRequest(request: Request): void {
 	const {statements, kind} = request;
 	if (statements.length === 0 || statements.some(({sql}) => sql.trim() === '')) {
-		throw new Refusal(resultCodes.malformed, 'the request has no statement or an empty one');
+		throw new RefusalError(resultCodes.malformed, 'the request has no statement or an empty one');
 	}
 
-	if (statements.length > statementLimit) {
-		throw new Refusal(resultCodes.tooLarge, `${statements.length} statements are more than the ${statementLimit} allowed`);
+	if (statements.length > maxStatements) {
+		throw new RefusalError(resultCodes.tooLarge, `${statements.length} statements are more than the ${maxStatements} allowed`);
 	}
 
 	const identifiers = [request.requestId, kind.kind === 'write' ? kind.idempotencyKey : ''];
-	if (identifiers.some(({length}) => length > identifierLimit)) {
-		throw new Refusal(resultCodes.tooLarge, `an identifier is longer than the ${identifierLimit} characters allowed`);
+	if (identifiers.some(({length}) => length > maxIdentifierLength)) {
+		throw new RefusalError(resultCodes.tooLarge, `an identifier is longer than the ${maxIdentifierLength} characters allowed`);
 	}
 
 	if (hasForbiddenStatement(statements)) {
-		throw new Refusal(
+		throw new RefusalError(
 			resultCodes.malformed,
 			'transaction and connection commands and tables named sapphirefall_ are not for callers',
 		);
 	}
 }
 
-function admitWork(
+function createWork(
 	request: Request,
 	options: {readonly context: AdmissionContext; readonly workspace: string},
 ): AdmittedRequest['work'] {
 	const {kind} = request;
 	if (kind.kind === 'read') {
-		const point = readPoint(request, options);
+		const point = readSessionPoint(request, options);
 		return {kind: 'read', freshness: chooseFreshness(kind, options), point};
 	}
 
 	if (kind.idempotencyKey === '' && !kind.isRepeatable) {
-		throw new Refusal(
+		throw new RefusalError(
 			resultCodes.idempotencyKeyMissing,
 			'a write that is not repeatable needs an idempotency key',
 		);
@@ -215,7 +221,7 @@
 		: parseFreshness(kind.freshness);
 	if (freshness === undefined) {
 		const name = kind.freshness === '' ? `kind of read "${kind.readKind}"` : `freshness "${kind.freshness}"`;
-		throw new Refusal(
+		throw new RefusalError(
 			resultCodes.unknownFreshness,
 			`the ${name} is unknown; allowed are latest, session, within <age> and the configured kinds`,
 		);
@@ -224,7 +230,7 @@
 	return freshness;
 }
 
-function readPoint(
+function readSessionPoint(
 	request: Request,
 	options: {readonly context: AdmissionContext; readonly workspace: string},
 ): LogPoint | undefined {
@@ -234,11 +240,11 @@
 
 	const claim = options.context.readSession(request.session);
 	if (claim === undefined) {
-		throw new Refusal(resultCodes.sessionInvalid, 'the session token is not one of this fleet');
+		throw new RefusalError(resultCodes.sessionInvalid, 'the session token is not one of this fleet');
 	}
 
 	if (claim.workspace !== options.workspace) {
-		throw new Refusal(resultCodes.sessionForeign, 'the session token belongs to another workspace');
+		throw new RefusalError(resultCodes.sessionForeign, 'the session token belongs to another workspace');
 	}
 
 	return claim.database === request.database ? claim.point : undefined;
--- a/packages/decisions/create-refusal.ts
+++ b/packages/decisions/create-refusal.ts
@@ -4,8 +4,8 @@
 /**
  * Creates a "not run" answer.
  *
- * @param code The reason as a number of the result-code table.
- * @param options The reason as a sentence without full stop, and the milliseconds after which a repeat may succeed.
+ * @param code The result code.
+ * @param options The reason as a sentence without a full stop, and the milliseconds after which a retry may succeed.
  * @example
  * createRefusal(resultCodes.rateExceeded, {reason: 'the workspace is above its rate', retryAfter: 200});
  */
--- a/packages/decisions/find-freshness.ts
+++ b/packages/decisions/find-freshness.ts
@@ -2,11 +2,11 @@
 import type {Freshness} from './freshness.ts';
 
 /**
- * Finds the freshness of a read that names only its kind.
+ * Finds the freshness of a read that names its kind but no freshness.
  *
- * An exception of the workspace goes before the fleet-wide default.
+ * An exception for the workspace takes precedence over the fleet-wide default.
  *
- * @returns The freshness, or `undefined` when the kind has no default.
+ * @returns The freshness, or `undefined` when the kind of read is not configured.
  */
 export function findFreshness(
 	configuration: Configuration,
--- a/packages/decisions/freshness.ts
+++ b/packages/decisions/freshness.ts
@@ -1,9 +1,14 @@
-/** How old the data of a read may be. */
+/**
+ * How stale the data of a read may be.
+ *
+ * `latest`: the state at the primary. `session`: a state that includes what the session has written and read.
+ * `within`: a state no older than `age`.
+ */
 export type Freshness =
 	| {readonly kind: 'latest'}
 	| {readonly kind: 'session'}
 	| {
 		readonly kind: 'within';
-		/** Greatest age in milliseconds. */
+		/** Longest staleness in milliseconds. */
 		readonly age: number;
 	};
--- a/packages/decisions/has-forbidden-statement.ts
+++ b/packages/decisions/has-forbidden-statement.ts
@@ -1,15 +1,18 @@
 import type {SqlStatement} from './sql-statement.ts';
 
+/** Matches white space, semicolons and comments before the first word of a statement. */
 const leadingComments = /^(?:\s|;|--[^\n]*(?:\n|$)|\/\*[\s\S]*?\*\/)*/v;
-const sessionCommand = /^(?:begin|start|commit|end|rollback|abort|savepoint|release|pragma|attach|detach|vacuum|set)\b/iv;
-const ownTable = /sapphirefall_/iv;
+/** Matches commands that control the transaction or change the connection's state. */
+const controlCommand = /^(?:begin|start|commit|end|rollback|abort|savepoint|release|pragma|attach|detach|vacuum|set)\b/iv;
+/** Matches the prefix of the tables that the proxy keeps in the endpoint's database. */
+const reservedTable = /sapphirefall_/iv;
 
 /**
- * Tells whether a statement would end the transaction around it, change the connection, or touch the proxy's tables.
+ * Returns whether a statement controls transactions, changes the connection's state or names the proxy's tables.
  *
- * Such a statement would leak state into the next request on the connection or part the work from its
- * idempotency record.
+ * Such a statement would leak state into the next request on the connection, or separate the request's writes from
+ * its idempotency record.
  */
 export function hasForbiddenStatement(statements: readonly SqlStatement[]): boolean {
-	return statements.some(({sql}) => sessionCommand.test(sql.replace(leadingComments, '')) || ownTable.test(sql));
+	return statements.some(({sql}) => controlCommand.test(sql.replace(leadingComments, '')) || reservedTable.test(sql));
 }
--- a/packages/decisions/hash-request.ts
+++ b/packages/decisions/hash-request.ts
@@ -4,18 +4,19 @@
 import type {SqlStatement} from './sql-statement.ts';
 
 /**
- * Hashes what a request does, so that an idempotency key cannot stand for two different requests.
+ * Hashes the statements of a request, so that the reuse of an idempotency key for another request is detected.
  *
- * Parameters are hashed with their type; identifiers, deadlines and tokens are left out.
+ * The hash covers the SQL texts and the parameters with their types. It excludes identifiers, deadlines and tokens,
+ * which differ between attempts of the same request.
  *
  * @returns SHA-256 in hexadecimal.
  */
 export function hashRequest(statements: readonly SqlStatement[]): string {
-	const canonical = statements.map(({sql, parameters}) => [sql, ...parameters.map(value => describeValue(value))]);
+	const canonical = statements.map(({sql, parameters}) => [sql, ...parameters.map(value => encodeValue(value))]);
 	return createHash('sha256').update(JSON.stringify(canonical)).digest('hex');
 }
 
-function describeValue(value: SqlValue): string {
+function encodeValue(value: SqlValue): string {
 	if (value === null) {
 		return 'null';
 	}
--- a/packages/decisions/parse-freshness.ts
+++ b/packages/decisions/parse-freshness.ts
@@ -1,12 +1,13 @@
 import type {Freshness} from './freshness.ts';
 
-const unitMilliseconds: Readonly<Record<string, number>> = {ms: 1, s: 1000, m: 60_000};
+/** Milliseconds per unit of an age. */
+const millisecondsPerUnit: Readonly<Record<string, number>> = {ms: 1, s: 1000, m: 60_000};
 
 /**
  * Parses a freshness such as `latest`, `session` or `within 5s`.
  *
- * @param text The text; units are `ms`, `s` and `m`.
- * @returns The freshness, or `undefined` when the text is none.
+ * @param text The text. An age has 1 to 6 digits and the unit `ms`, `s` or `m`.
+ * @returns The freshness, or `undefined` when the text is not one.
  * @example
  * parseFreshness('within 5s'); // {kind: 'within', age: 5000}
  */
@@ -16,7 +17,7 @@
 	}
 
 	const match = /^within (?<amount>\d{1,6})(?<unit>ms|s|m)$/v.exec(text);
-	const unit = unitMilliseconds[match?.groups?.['unit'] ?? ''];
+	const unit = millisecondsPerUnit[match?.groups?.['unit'] ?? ''];
 	if (unit === undefined) {
 		return undefined;
 	}
--- a/packages/decisions/require-freshness.ts
+++ b/packages/decisions/require-freshness.ts
@@ -3,9 +3,9 @@
 import type {Freshness} from './freshness.ts';
 
 /**
- * Parses a freshness that must be one.
+ * Parses a freshness, and throws when the text is not one.
  *
- * @throws {Error} When the text is none; the message says what is allowed.
+ * @throws {Error} When the text is not a freshness; the message lists the allowed forms.
  */
 export function requireFreshness(text: string): Freshness {
 	const freshness = parseFreshness(text);
--- a/packages/decisions/result-code.ts
+++ b/packages/decisions/result-code.ts
@@ -1,4 +1,4 @@
 import type {resultCodes} from './result-codes.ts';
 
-/** A number of the result-code table. */
+/** A result code from {@link resultCodes}. */
 export type ResultCode = (typeof resultCodes)[keyof typeof resultCodes];
--- a/packages/decisions/result-codes.ts
+++ b/packages/decisions/result-codes.ts
@@ -1,7 +1,7 @@
 /**
- * Numbered result codes of answers, operator calls and the command line.
+ * The result codes of answers, operator calls and the command line.
  *
- * The table in docs/RESULT-CODES.md lists each with its meaning. All fit an exit code.
+ * docs/RESULT-CODES.md explains each code. All codes are below 256, so that they can be exit codes.
  */
 export const resultCodes = {
 	done: 0,
--- a/packages/decisions/session-claim.ts
+++ b/packages/decisions/session-claim.ts
@@ -1,6 +1,6 @@
 import type {LogPoint} from './log-point.ts';
 
-/** What a session token says: the session of a workspace has seen a database up to a point. */
+/** The content of a session token: the log position up to which a session of a workspace has seen a database. */
 export type SessionClaim = {
 	readonly workspace: string;
 	readonly database: string;
