--- a/packages/decisions/apply-change.ts
+++ b/packages/decisions/apply-change.ts
@@ -5,10 +5,12 @@
 import type {Configuration} from './configuration.ts';
 import type {ResultCode} from './result-code.ts';
 
-/** Characters a written reason must have at least. */
-const shortestReason = 10;
+/** Fewest characters of the reason that an operator gives for an exception. */
+const minReasonLength = 10;
 
+/** Matches the names of workspaces, keys, kinds of read and routes. */
 const namePattern = /^[a-z0-9][a-z0-9\-]{0,62}$/v;
+/** Matches a SHA-256 digest in hexadecimal. */
 const digestPattern = /^[0-9a-f]{64}$/v;
 
 /**
@@ -16,16 +18,17 @@
  *
  * @param configuration The version that the change is based on.
  * @param options The change and its identifier.
- * @returns The next version, or the code and reason why the change cannot be made.
+ * @returns The next version of the configuration, or the code and reason of the refusal.
  */
 export function applyChange(
 	configuration: Configuration,
 	options: {readonly change: Change; readonly changeId: string},
 ): ChangeOutcome {
-	return makeChange({...configuration, version: configuration.version + 1, changeId: options.changeId}, options.change);
+	return applyUnversioned({...configuration, version: configuration.version + 1, changeId: options.changeId}, options.change);
 }
 
-function makeChange(next: Configuration, change: Change): ChangeOutcome {
+/** Applies a change to a configuration whose version is already the next one. */
+function applyUnversioned(next: Configuration, change: Change): ChangeOutcome {
 	switch (change.kind) {
 		case 'setWorkspace': {
 			return setWorkspace(next, change);
@@ -56,44 +59,44 @@
 		}
 
 		case 'declare': {
-			return applyDeclaration(next, {declaration: change.declaration, makeChange});
+			return applyDeclaration(next, {declaration: change.declaration, applyUnversioned});
 		}
 	}
 }
 
 type ChangeOf<Kind extends Change['kind']> = Extract<Change, {readonly kind: Kind}>;
 
-function createOutcome(configuration: Configuration): ChangeOutcome {
+function createChangedOutcome(configuration: Configuration): ChangeOutcome {
 	return {kind: 'changed', configuration};
 }
 
-function createRejection(code: ResultCode, reason: string): ChangeOutcome {
+function createRefusedOutcome(code: ResultCode, reason: string): ChangeOutcome {
 	return {kind: 'refused', code, reason};
 }
 
 function setWorkspace(next: Configuration, change: ChangeOf<'setWorkspace'>): ChangeOutcome {
 	const {workspace, rate, burst, databases} = change;
 	if (!namePattern.test(workspace)) {
-		return createRejection(resultCodes.changeInvalid, `the workspace name "${workspace}" is not of a-z, 0-9 and -`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `the workspace name "${workspace}" is not of a-z, 0-9 and -`);
 	}
 
 	if (!(rate > 0) || !(burst > 0) || !Number.isFinite(rate + burst)) {
-		return createRejection(resultCodes.changeInvalid, `rate ${rate} and burst ${burst} must be positive numbers`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `rate ${rate} and burst ${burst} must be positive numbers`);
 	}
 
-	return createOutcome({...next, workspaces: {...next.workspaces, [workspace]: {rate, burst, databases}}});
+	return createChangedOutcome({...next, workspaces: {...next.workspaces, [workspace]: {rate, burst, databases}}});
 }
 
 function removeWorkspace(next: Configuration, change: ChangeOf<'removeWorkspace'>): ChangeOutcome {
 	const {[change.workspace]: removed, ...workspaces} = next.workspaces;
 	if (removed === undefined) {
-		return createMissing('workspace', change.workspace);
+		return createNameUnknown('workspace', change.workspace);
 	}
 
 	const keys = Object.fromEntries(Object.entries(next.keys).filter(([, key]) => key.workspace !== change.workspace));
 	const exceptions = next.exceptions.filter(exception => exception.workspace !== change.workspace);
 	const routes = Object.fromEntries(Object.entries(next.routes).filter(([, route]) => route.workspace !== change.workspace));
-	return createOutcome({
+	return createChangedOutcome({
 		...next, workspaces, keys, exceptions, routes,
 	});
 }
@@ -101,53 +104,53 @@
 function addKey(next: Configuration, change: ChangeOf<'addKey'>): ChangeOutcome {
 	const {workspace, keyId, digest} = change;
 	if (next.workspaces[workspace] === undefined) {
-		return createMissing('workspace', workspace);
+		return createNameUnknown('workspace', workspace);
 	}
 
 	if (!namePattern.test(keyId) || !digestPattern.test(digest)) {
-		return createRejection(resultCodes.changeInvalid, `the key "${keyId}" needs a name of a-z, 0-9 and - and a SHA-256 digest`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `the key "${keyId}" needs a name of a-z, 0-9 and - and a SHA-256 digest`);
 	}
 
 	const isTaken = next.keys[keyId] !== undefined || Object.values(next.keys).some(key => key.digest === digest);
 	if (isTaken) {
-		return createRejection(resultCodes.changeInvalid, `the key "${keyId}" exists already`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `the key "${keyId}" exists already`);
 	}
 
-	return createOutcome({...next, keys: {...next.keys, [keyId]: {workspace, digest}}});
+	return createChangedOutcome({...next, keys: {...next.keys, [keyId]: {workspace, digest}}});
 }
 
 function withdrawKey(next: Configuration, change: ChangeOf<'withdrawKey'>): ChangeOutcome {
 	const {[change.keyId]: withdrawn, ...keys} = next.keys;
-	return withdrawn === undefined ? createMissing('key', change.keyId) : createOutcome({...next, keys});
+	return withdrawn === undefined ? createNameUnknown('key', change.keyId) : createChangedOutcome({...next, keys});
 }
 
 function setFreshness(next: Configuration, change: ChangeOf<'setFreshness'>): ChangeOutcome {
 	if (!namePattern.test(change.readKind)) {
-		return createRejection(resultCodes.changeInvalid, `the kind of read "${change.readKind}" is not of a-z, 0-9 and -`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `the kind of read "${change.readKind}" is not of a-z, 0-9 and -`);
 	}
 
-	return createOutcome({...next, freshness: {...next.freshness, [change.readKind]: change.freshness}});
+	return createChangedOutcome({...next, freshness: {...next.freshness, [change.readKind]: change.freshness}});
 }
 
 function setException(next: Configuration, change: ChangeOf<'setException'>): ChangeOutcome {
 	const {workspace, readKind, freshness, reason} = change;
-	if (reason.trim().length < shortestReason) {
-		return createRejection(
+	if (reason.trim().length < minReasonLength) {
+		return createRefusedOutcome(
 			resultCodes.changeInvalid,
-			`the exception of "${workspace}" for "${readKind}" needs a written reason of ${shortestReason} characters or more`,
+			`the exception of "${workspace}" for "${readKind}" needs a written reason of ${minReasonLength} characters or more`,
 		);
 	}
 
 	if (next.workspaces[workspace] === undefined) {
-		return createMissing('workspace', workspace);
+		return createNameUnknown('workspace', workspace);
 	}
 
 	if (next.freshness[readKind] === undefined) {
-		return createMissing('kind of read', readKind);
+		return createNameUnknown('kind of read', readKind);
 	}
 
 	const others = next.exceptions.filter(exception => exception.workspace !== workspace || exception.kind !== readKind);
-	return createOutcome({
+	return createChangedOutcome({
 		...next, exceptions: [...others, {
 			workspace, kind: readKind, freshness, reason,
 		}],
@@ -157,18 +160,18 @@
 function setRoute(next: Configuration, change: ChangeOf<'setRoute'>): ChangeOutcome {
 	const {route, workspace, database, sql, freshness} = change;
 	if (!namePattern.test(route)) {
-		return createRejection(resultCodes.changeInvalid, `the route name "${route}" is not of a-z, 0-9 and -`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `the route name "${route}" is not of a-z, 0-9 and -`);
 	}
 
 	if (next.workspaces[workspace] === undefined) {
-		return createMissing('workspace', workspace);
+		return createNameUnknown('workspace', workspace);
 	}
 
 	if (freshness.kind === 'session') {
-		return createRejection(resultCodes.changeInvalid, `the route "${route}" has no sessions; its freshness must be latest or within an age`);
+		return createRefusedOutcome(resultCodes.changeInvalid, `the route "${route}" has no sessions; its freshness must be latest or within an age`);
 	}
 
-	return createOutcome({
+	return createChangedOutcome({
 		...next, routes: {
 			...next.routes, [route]: {
 				workspace, database, sql, freshness,
@@ -177,6 +180,6 @@
 	});
 }
 
-function createMissing(what: string, name: string): ChangeOutcome {
-	return createRejection(resultCodes.nameUnknown, `the ${what} "${name}" does not exist`);
+function createNameUnknown(what: string, name: string): ChangeOutcome {
+	return createRefusedOutcome(resultCodes.nameUnknown, `the ${what} "${name}" does not exist`);
 }
--- a/packages/decisions/apply-declaration.test.ts
+++ b/packages/decisions/apply-declaration.test.ts
@@ -30,40 +30,40 @@
 type Case = {
 	readonly title: string;
 	readonly declaration: Declaration;
-	/** Parts of the next version that differ from the base; undefined when the change is refused. */
+	/** Properties of the next version that differ from the base; `undefined` when the change is refused. */
 	readonly expected: Partial<Configuration> | undefined;
-	/** Text that the refusal holds. */
+	/** Texts that the reason of the refusal includes. */
 	readonly reasons?: readonly string[];
 };
 
 const cases: readonly Case[] = [
-	{title: 'nothing declared changes nothing', declaration: {}, expected: {}},
+	{title: 'an empty declaration changes nothing', declaration: {}, expected: {}},
 	{
 		title: 'a declared section replaces the one in force',
 		declaration: {workspaces: {upper: {...upper, rate: 12}, lower, third: upper}},
 		expected: {workspaces: {upper: {...upper, rate: 12}, lower, third: upper}},
 	},
 	{
-		title: 'a workspace that is left out takes its keys, exceptions and routes with it',
+		title: 'the keys, exceptions and routes of an omitted workspace are removed',
 		declaration: {workspaces: {upper}},
 		expected: {
 			workspaces: {upper}, keys: {'upper-1': {workspace: 'upper', digest}}, exceptions: [], routes: {},
 		},
 	},
-	{title: 'an empty section is emptied', declaration: {routes: {}}, expected: {routes: {}}},
+	{title: 'an empty declared section clears the one in force', declaration: {routes: {}}, expected: {routes: {}}},
 	{
-		title: 'a key that is left out is withdrawn',
+		title: 'an omitted key is withdrawn',
 		declaration: {keys: {'lower-1': {workspace: 'lower', digest: otherDigest}}},
 		expected: {keys: {'lower-1': {workspace: 'lower', digest: otherDigest}}},
 	},
 	{
-		title: 'a key keeps its digest',
+		title: 'the digest of a key cannot change',
 		declaration: {keys: {'upper-1': {workspace: 'upper', digest: 'c'.repeat(64)}}},
 		expected: undefined,
 		reasons: ['the key "upper-1" exists with another digest'],
 	},
 	{
-		title: 'all faults are told at once',
+		title: 'the refusal lists all errors',
 		declaration: {
 			workspaces: {'Not A Name': upper, upper: {...upper, rate: 0}},
 			keys: {k: {workspace: 'nobody', digest}},
@@ -73,7 +73,7 @@
 		reasons: ['"Not A Name"', 'rate 0', 'workspace "nobody" does not exist', 'written reason'],
 	},
 	{
-		title: 'an exception cannot outlive its kind of read',
+		title: 'an exception needs its kind of read',
 		declaration: {freshness: {}, exceptions: [exception]},
 		expected: undefined,
 		reasons: ['kind of read "report" does not exist'],
@@ -103,7 +103,7 @@
 });
 
 describe('listDifferences', () => {
-	it('names what is added, removed and changed, in order', () => {
+	it('lists added, removed and changed entries by name', () => {
 		expect(listDifferences({a: '1', b: '2', c: '3'}, {b: '2', c: '4', d: '5'})).to.deep.equal([
 			{
 				kind: 'removed', name: 'a', before: '1', after: '',
--- a/packages/decisions/apply-declaration.ts
+++ b/packages/decisions/apply-declaration.ts
@@ -7,39 +7,39 @@
 
 type Options = {
 	readonly declaration: Declaration;
-	/** Makes one change without a new version. */
-	readonly makeChange: (configuration: Configuration, change: Change) => ChangeOutcome;
+	/** Applies one change without incrementing the version. */
+	readonly applyUnversioned: (configuration: Configuration, change: Change) => ChangeOutcome;
 };
 
 /**
- * Makes the sections that a declaration holds what it says, in one change.
+ * Replaces the sections of a configuration that a declaration contains, in one change.
  *
- * What belongs to a workspace that the declaration leaves out goes with it. Each part meets the same checks as a
- * change of its own; nothing is changed when one of them fails.
+ * The keys, exceptions and routes of a workspace that the declaration omits are removed with the workspace. Each
+ * entry passes the same checks as a separate change; when one check fails, nothing is changed.
  *
  * @param next The configuration to change.
- * @param options The declaration, and how to make one of its parts.
- * @returns The configuration, or all that is wrong with the declaration.
+ * @param options The declaration, and the function that applies a single change.
+ * @returns The changed configuration, or a refusal whose reason lists all errors of the declaration.
  */
 export function applyDeclaration(next: Configuration, options: Options): ChangeOutcome {
-	const {declaration, makeChange} = options;
+	const {declaration, applyUnversioned} = options;
 	let configuration = clearSections(next, declaration);
-	const faults = listNewDigests(next, declaration);
+	const errors = listDigestErrors(next, declaration);
 	for (const change of listDeclaredChanges(declaration)) {
-		const outcome = makeChange(configuration, change);
+		const outcome = applyUnversioned(configuration, change);
 		if (outcome.kind === 'changed') {
 			({configuration} = outcome);
 		} else {
-			faults.push(outcome.reason);
+			errors.push(outcome.reason);
 		}
 	}
 
-	return faults.length === 0
+	return errors.length === 0
 		? {kind: 'changed', configuration}
-		: {kind: 'refused', code: resultCodes.changeInvalid, reason: faults.join('; ')};
+		: {kind: 'refused', code: resultCodes.changeInvalid, reason: errors.join('; ')};
 }
 
-/** Empties the sections that the declaration holds, and drops from the others what belongs to no workspace any more. */
+/** Empties the sections that the declaration contains, and removes entries of omitted workspaces from the others. */
 function clearSections(configuration: Configuration, declaration: Declaration): Configuration {
 	const {workspaces} = declaration;
 	const isKept = ({workspace}: {readonly workspace: string}) => workspaces === undefined || Object.hasOwn(workspaces, workspace);
@@ -60,8 +60,12 @@
 	return Object.fromEntries(Object.entries(entries).filter(([, value]) => isSelected(value)));
 }
 
-/** Lists the keys that the declaration gives another digest; a key is withdrawn and given under a new name instead. */
-function listNewDigests(configuration: Configuration, {keys = {}}: Declaration): string[] {
+/**
+ * Lists an error for each key whose digest the declaration changes.
+ *
+ * A key keeps its digest; a new key is added under a new name and the old one withdrawn.
+ */
+function listDigestErrors(configuration: Configuration, {keys = {}}: Declaration): string[] {
 	return Object.entries(keys)
 		.filter(([keyId, {digest}]) => (configuration.keys[keyId]?.digest ?? digest) !== digest)
 		.map(([keyId]) => `the key "${keyId}" exists with another digest; give the new key another name`);
--- a/packages/decisions/change.ts
+++ b/packages/decisions/change.ts
@@ -1,14 +1,14 @@
 import type {Declaration} from './declaration.ts';
 import type {Freshness} from './freshness.ts';
 
-/** What an operator can change in the configuration. */
+/** A change that an operator can make to the configuration. */
 export type Change =
 	| {
 		readonly kind: 'setWorkspace';
 		readonly workspace: string;
-		/** Units a second over the whole fleet. */
+		/** Units per second, over the whole fleet. */
 		readonly rate: number;
-		/** Units. */
+		/** Units that the workspace may use at once after it has been idle. */
 		readonly burst: number;
 		readonly databases: readonly string[];
 	}
--- a/packages/decisions/configuration.ts
+++ b/packages/decisions/configuration.ts
@@ -1,25 +1,28 @@
 import type {Freshness} from './freshness.ts';
 
-/** The configuration of the whole fleet, in one version. */
+/** One version of the configuration of the whole fleet. */
 export type Configuration = {
 	readonly version: number;
-	/** Names the change that made this version. */
+	/** Identifier of the change that created this version. */
 	readonly changeId: string;
 	readonly workspaces: Readonly<Record<string, Workspace>>;
 	readonly keys: Readonly<Record<string, WorkspaceKey>>;
-	/** Fleet-wide freshness by kind of read. */
+	/** Fleet-wide default freshness by kind of read. */
 	readonly freshness: Readonly<Record<string, Freshness>>;
+	/** Freshness that differs from the default for one workspace and kind of read. */
 	readonly exceptions: readonly FreshnessException[];
+	/** Routes that callers use without a key, by name. */
 	readonly routes: Readonly<Record<string, OpenRoute>>;
-	/** Units that a request costs, by class. */
+	/** Units that a request costs, by class: `write`, or the freshness of the read. */
 	readonly costs: Readonly<Record<CostClass, number>>;
 };
 
 type Workspace = {
-	/** Units a second over the whole fleet. */
+	/** Units per second, over the whole fleet. */
 	readonly rate: number;
-	/** Units. */
+	/** Units that the workspace may use at once after it has been idle. */
 	readonly burst: number;
+	/** Databases that the workspace may use. */
 	readonly databases: readonly string[];
 };
 
@@ -31,13 +34,15 @@
 
 type FreshnessException = {
 	readonly workspace: string;
+	/** Kind of read. */
 	readonly kind: string;
 	readonly freshness: Freshness;
+	/** Why the workspace needs the exception. */
 	readonly reason: string;
 };
 
 type OpenRoute = {
-	/** The workspace that pays for the route. */
+	/** Workspace whose rate is charged for requests on the route. */
 	readonly workspace: string;
 	readonly database: string;
 	readonly sql: string;
--- a/packages/decisions/create-configuration.ts
+++ b/packages/decisions/create-configuration.ts
@@ -1,11 +1,11 @@
 import type {Configuration} from './configuration.ts';
 
-/** Units by class: a read that can wait is the cheapest. */
+/** Units that a request costs, by class: the staler the data that a read accepts, the cheaper it is. */
 const defaultCosts = {
 	write: 4, latest: 4, session: 2, within: 1,
 } as const;
 
-/** Creates the configuration of a fleet that no operator has configured yet. */
+/** Creates version 0 of the configuration, which a fleet has before an operator configures it. */
 export function createConfiguration(): Configuration {
 	return {
 		version: 0,
--- a/packages/decisions/declaration.ts
+++ b/packages/decisions/declaration.ts
@@ -1,5 +1,5 @@
 import type {Configuration} from './configuration.ts';
 import type {DeclaredSection} from './declared-section.ts';
 
-/** Sections of the configuration as they shall be; a section that is absent stays as it is. */
+/** The desired contents of sections of the configuration. An absent section stays unchanged. */
 export type Declaration = Partial<Pick<Configuration, DeclaredSection>>;
--- a/packages/decisions/declared-section.ts
+++ b/packages/decisions/declared-section.ts
@@ -1,2 +1,2 @@
-/** A section of the configuration that a declaration can hold. */
+/** Name of a section of the configuration that a declaration can contain. */
 export type DeclaredSection = 'workspaces' | 'keys' | 'freshness' | 'exceptions' | 'routes';
--- a/packages/decisions/difference.ts
+++ b/packages/decisions/difference.ts
@@ -1,10 +1,10 @@
-/** A part of the configuration that a declaration adds, removes or changes, in words. */
+/** An entry of the configuration that a declaration adds, removes or changes, described as text. */
 export type Difference = {
 	readonly kind: 'added' | 'removed' | 'changed';
-	/** What it is, such as `workspace upper`. */
+	/** Section and name of the entry, such as `workspace upper`. */
 	readonly name: string;
-	/** How it is now; empty when it is added. */
+	/** Present value; empty for an added entry. */
 	readonly before: string;
-	/** How it is declared; empty when it is removed. */
+	/** Declared value; empty for a removed entry. */
 	readonly after: string;
 };
--- a/packages/decisions/find-workspace.ts
+++ b/packages/decisions/find-workspace.ts
@@ -1,21 +1,22 @@
 import type {Configuration} from './configuration.ts';
 
-const indexes = new WeakMap<Configuration, ReadonlyMap<string, string>>();
+/** Workspaces by key digest, for each version of the configuration. */
+const indexByConfiguration = new WeakMap<Configuration, ReadonlyMap<string, string>>();
 
 /**
- * Finds the workspace to which a key belongs.
+ * Finds the workspace that a key belongs to.
  *
  * @param configuration The configuration in force.
  * @param digest SHA-256 of the key, in hexadecimal.
- * @returns The workspace's name, or `undefined` when the key was withdrawn or never given.
+ * @returns The workspace's name, or `undefined` when the key was withdrawn or never added.
  */
 export function findWorkspace(configuration: Configuration, digest: string): string | undefined {
-	const known = indexes.get(configuration);
-	if (known !== undefined) {
-		return known.get(digest);
+	const cachedIndex = indexByConfiguration.get(configuration);
+	if (cachedIndex !== undefined) {
+		return cachedIndex.get(digest);
 	}
 
 	const index = new Map(Object.values(configuration.keys).map(key => [key.digest, key.workspace]));
-	indexes.set(configuration, index);
+	indexByConfiguration.set(configuration, index);
 	return index.get(digest);
 }
--- a/packages/decisions/fleet-configuration.ts
+++ b/packages/decisions/fleet-configuration.ts
@@ -1,7 +1,7 @@
 import type {Configuration} from './configuration.ts';
 import type {Roster} from './roster.ts';
 
-/** What all hosts of the fleet agree on through the platform's table. */
+/** The state that all hosts of the fleet share through the platform's table. */
 export type FleetConfiguration = {
 	readonly configuration: Configuration;
 	readonly roster: Roster;
--- a/packages/decisions/list-declared-changes.ts
+++ b/packages/decisions/list-declared-changes.ts
@@ -1,7 +1,11 @@
 import type {Change} from './change.ts';
 import type {Declaration} from './declaration.ts';
 
-/** Lists the changes that put all that a declaration holds into an empty configuration, in an order that works. */
+/**
+ * Lists the changes that create the contents of a declaration in an empty configuration.
+ *
+ * An entry follows the entries that it refers to, such as a key its workspace.
+ */
 export function listDeclaredChanges(declaration: Declaration): readonly Change[] {
 	const {
 		workspaces = {}, keys = {}, freshness = {}, exceptions = [], routes = {},
--- a/packages/decisions/list-differences.ts
+++ b/packages/decisions/list-differences.ts
@@ -1,11 +1,11 @@
 import type {Difference} from './difference.ts';
 
 /**
- * Lists what differs between the parts that are in force and those that are declared.
+ * Lists the differences between the configuration in force and the declared one.
  *
- * @param before Parts by name, in words.
- * @param after The declared ones.
- * @returns The differences, by name.
+ * @param before Descriptions of the entries in force, by name.
+ * @param after Descriptions of the declared entries, by name.
+ * @returns The differences, sorted by name.
  * @example
  * listDifferences({'workspace upper': 'rate 50'}, {'workspace upper': 'rate 80'});
  * // [{kind: 'changed', name: 'workspace upper', before: 'rate 50', after: 'rate 80'}]
@@ -18,11 +18,11 @@
 	return names
 		.filter(name => before[name] !== after[name])
 		.map(name => ({
-			kind: findKind(before[name], after[name]), name, before: before[name] ?? '', after: after[name] ?? '',
+			kind: findDifferenceKind(before[name], after[name]), name, before: before[name] ?? '', after: after[name] ?? '',
 		}));
 }
 
-function findKind(before: string | undefined, after: string | undefined): Difference['kind'] {
+function findDifferenceKind(before: string | undefined, after: string | undefined): Difference['kind'] {
 	if (before === undefined) {
 		return 'added';
 	}
