--- a/packages/decisions/settle-span.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Milliseconds after which a write to the table that got no answer can no longer take effect. */
-export const settleSpan = 5000;
