--- a/packages/sessions/acquire-outcome.ts
+++ b/packages/sessions/acquire-outcome.ts
@@ -1,10 +1,10 @@
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 
 /** Whether a connection of a pool could be had. */
 export type AcquireOutcome =
 	| {
 		readonly kind: 'acquired';
-		readonly link: PooledLink;
+		readonly connection: PooledConnection;
 		/** Milliseconds that opening it took; 0 for one that was open. */
 		readonly openSpan: number;
 	}
--- a/packages/sessions/apply-setup.ts
+++ b/packages/sessions/apply-setup.ts
@@ -1,6 +1,6 @@
 import type {InstanceAnswer} from './instance-answer.ts';
 import type {InstanceRequest} from './instance-request.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 import type {SessionValues} from './session-values.ts';
 
 type PreparedStatement = SessionValues['prepared'] extends ReadonlyMap<string, infer Value> ? Value : never;
@@ -19,7 +19,7 @@
  *
  * @returns Whether the connection now holds just what the session set.
  */
-export async function applySetup(pooled: PooledLink, {setup, prepared, isInTransaction, send}: Options): Promise<boolean> {
+export async function applySetup(pooled: PooledConnection, {setup, prepared, isInTransaction, send}: Options): Promise<boolean> {
 	const isForeign = [...pooled.values.keys()].some(name => !setup.values.has(name));
 	if (isForeign && !isInTransaction) {
 		if (!isDone(await send({kind: 'reset'}))) {
@@ -43,7 +43,7 @@
 	return prepared === undefined || applyPrepared(pooled, {setup, prepared, send});
 }
 
-function applyPrepared(pooled: PooledLink, {setup, prepared, send}: Pick<Options, 'setup' | 'send'> & {readonly prepared: string}): boolean {
+function applyPrepared(pooled: PooledConnection, {setup, prepared, send}: Pick<Options, 'setup' | 'send'> & {readonly prepared: string}): boolean {
 	const statement = setup.prepared.get(prepared);
 	if (statement === undefined) {
 		return false;
@@ -62,7 +62,7 @@
  * Prepares a statement on a connection. What runs it may follow at once: where the preparing fails the instance answers
  * that it knows no such name, and has run nothing.
  */
-async function prepare(pooled: PooledLink, {statement, shape, send}: Pick<Options, 'send'> & {readonly statement: PreparedStatement; readonly shape: string}): Promise<void> {
+async function prepare(pooled: PooledConnection, {statement, shape, send}: Pick<Options, 'send'> & {readonly statement: PreparedStatement; readonly shape: string}): Promise<void> {
 	const name = `p${pooled.prepared.size + 1}`;
 	pooled.prepared.set(shape, name);
 	const answer = await send({kind: 'prepare', name, prepared: statement});
--- a/packages/sessions/create-instance-pool.test.ts
+++ b/packages/sessions/create-instance-pool.test.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
 import {createInstancePool} from './create-instance-pool.ts';
-import type {LinkOutcome} from './link-outcome.ts';
+import type {OpenConnectionOutcome} from './open-connection-outcome.ts';
 
 /** Creates a pool whose connections are counted. */
-function createPool(limit: number, outcome?: LinkOutcome) {
+function createPool(limit: number, outcome?: OpenConnectionOutcome) {
 	const opened: string[] = [];
 	let closed = 0;
 	const pool = createInstancePool({
@@ -14,7 +14,7 @@
 			let isClosed = false;
 			return outcome ?? {
 				kind: 'opened',
-				link: {
+				connection: {
 					send: async () => ({kind: 'lost', reason: ''}),
 					close() {
 						closed += isClosed ? 0 : 1;
@@ -27,7 +27,7 @@
 	});
 	const acquire = async (workspace: string, {priority = 1, timeout = 50} = {}) => {
 		const acquired = await pool.acquire({workspace, priority, timeout});
-		return acquired.kind === 'acquired' ? acquired.link : undefined;
+		return acquired.kind === 'acquired' ? acquired.connection : undefined;
 	};
 
 	return {
--- a/packages/sessions/create-instance-pool.ts
+++ b/packages/sessions/create-instance-pool.ts
@@ -3,12 +3,12 @@
 } from '@sapphirefall/decisions';
 import type {AcquireOutcome} from './acquire-outcome.ts';
 import type {InstancePool} from './instance-pool.ts';
-import type {LinkOutcome} from './link-outcome.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {OpenConnectionOutcome} from './open-connection-outcome.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 
 type Options = {
 	/** Opens a connection for a workspace. */
-	readonly open: (workspace: string) => Promise<LinkOutcome>;
+	readonly open: (workspace: string) => Promise<OpenConnectionOutcome>;
 	/** Connections at most. */
 	readonly limit: number;
 	/** Present steady milliseconds. */
@@ -29,21 +29,21 @@
  * closed to make place. Waiting sessions are served by priority, and fairly between workspaces within one.
  */
 export function createInstancePool(options: Options): InstancePool {
-	const links = new Set<PooledLink>();
+	const links = new Set<PooledConnection>();
 	const queues = new Map<number, FairQueue<Waiter>>();
 	let {limit} = options;
 	let opening = 0;
 	let waiting = 0;
 	let isClosed = false;
 
-	const drop = (link: PooledLink) => {
+	const drop = (link: PooledConnection) => {
 		links.delete(link);
-		link.link.close();
+		link.connection.close();
 	};
 
 	const listIdle = () => {
 		for (const link of links) {
-			if (!link.isBusy && link.link.isClosed()) {
+			if (!link.isBusy && link.connection.isClosed()) {
 				links.delete(link);
 			}
 		}
@@ -74,14 +74,14 @@
 			return {kind: outcome.kind === 'refused' && outcome.code !== 'moved' ? 'busy' : 'unreachable'};
 		}
 
-		const link: PooledLink = {
-			link: outcome.link, workspace, values: new Map(), prepared: new Map(), isBusy: true, idleSince: 0,
+		const link: PooledConnection = {
+			connection: outcome.connection, workspace, values: new Map(), prepared: new Map(), isBusy: true, idleSince: 0,
 		};
 		links.add(link);
-		return {kind: 'acquired', link, openSpan: options.now() - startedAt};
+		return {kind: 'acquired', connection: link, openSpan: options.now() - startedAt};
 	};
 
-	const take = (workspace: string): PooledLink | undefined => {
+	const take = (workspace: string): PooledConnection | undefined => {
 		const link = listIdle().findLast(idle => idle.workspace === workspace);
 		if (link !== undefined) {
 			link.isBusy = true;
@@ -110,7 +110,7 @@
 			makePlace();
 			waiter.resolve(await open(waiter.workspace));
 		} else {
-			waiter.resolve({kind: 'acquired', link, openSpan: 0});
+			waiter.resolve({kind: 'acquired', connection: link, openSpan: 0});
 		}
 	};
 
@@ -159,7 +159,7 @@
 		async acquire({workspace, priority, timeout}) {
 			const idle = waiting === 0 ? take(workspace) : undefined;
 			if (idle !== undefined) {
-				return {kind: 'acquired', link: idle, openSpan: 0};
+				return {kind: 'acquired', connection: idle, openSpan: 0};
 			}
 
 			if (waiting === 0 && makePlace()) {
@@ -171,7 +171,7 @@
 		release(link, isClean) {
 			link.isBusy = false;
 			link.idleSince = options.now();
-			if (!isClean || isClosed || links.size > limit || link.link.isClosed()) {
+			if (!isClean || isClosed || links.size > limit || link.connection.isClosed()) {
 				drop(link);
 			}
 
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -8,11 +8,11 @@
 import type {InstanceRequest} from './instance-request.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import type {OpenLink} from './open-link.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {OpenConnection} from './open-connection.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 
 type Options = {
-	readonly openLink: OpenLink;
+	readonly openConnection: OpenConnection;
 	readonly gateways: Gateways;
 	/** Connections at most. */
 	readonly limit: number;
@@ -28,7 +28,7 @@
 
 /** Creates what a host keeps of an instance: its connections and what was seen of it. */
 export function createInstanceRuntime(first: ListedInstance, {
-	openLink, gateways, limit, now,
+	openConnection: openLink, gateways, limit, now,
 }: Options): InstanceRuntime {
 	let listed = first;
 	let health: InstanceHealth = {
@@ -55,7 +55,7 @@
 		},
 	});
 
-	const send = async (link: PooledLink, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> => {
+	const send = async (link: PooledConnection, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> => {
 		const sentAt = now();
 		note({kind: 'sent'});
 		const answer = await waitForAnswer(link, request, timeout);
@@ -98,7 +98,7 @@
 }
 
 /** Waits for the answer to a request; a connection that gives none in time is closed. */
-async function waitForAnswer({link}: PooledLink, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> {
+async function waitForAnswer({connection: link}: PooledConnection, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> {
 	return new Promise(resolve => {
 		const timer = setTimeout(() => {
 			link.close();
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -6,7 +6,7 @@
 import type {JobRunner} from './job-runner.ts';
 import type {Job} from './job.ts';
 import {notSent} from './not-sent.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 import {runWork} from './run-work.ts';
 
 type Options = {
@@ -23,7 +23,7 @@
 type JobClock = ReturnType<typeof createJobClock>;
 
 type OpenTransaction = {
-	readonly pooled: PooledLink;
+	readonly pooled: PooledConnection;
 	readonly idleLimit: number;
 	idleTimer?: NodeJS.Timeout;
 };
@@ -58,7 +58,7 @@
 		const acquired = await pool.acquire({workspace, priority, timeout});
 		if (acquired.kind === 'acquired') {
 			clock.noteAcquired(acquired.openSpan);
-			return acquired.link;
+			return acquired.connection;
 		}
 
 		return {
@@ -134,7 +134,7 @@
 	};
 
 	/** Takes a transaction whose connection is then the caller's to give back; undefined when it is over. */
-	const takeTransaction = (transaction: number): PooledLink | undefined => {
+	const takeTransaction = (transaction: number): PooledConnection | undefined => {
 		const open = transactions.get(transaction);
 		clearTimeout(open?.idleTimer);
 		transactions.delete(transaction);
@@ -241,7 +241,7 @@
 }
 
 /** Whether a connection may be used by another session after an answer. */
-function isClean(answer: JobAnswer, {link}: PooledLink): boolean {
+function isClean(answer: JobAnswer, {connection: link}: PooledConnection): boolean {
 	if (answer.kind === 'notSent') {
 		return !link.isClosed();
 	}
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -9,7 +9,7 @@
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {Instant} from './instant.ts';
 import {isSampleDue} from './is-sample-due.ts';
-import type {OpenLink} from './open-link.ts';
+import type {OpenConnection} from './open-connection.ts';
 import type {PositionSample} from './position-sample.ts';
 import type {PrimaryView} from './primary-view.ts';
 import {rankReaders} from './rank-readers.ts';
@@ -20,7 +20,7 @@
 type Options = {
 	/** Availability zone of this host. */
 	readonly zone: string;
-	readonly openLink: OpenLink;
+	readonly openConnection: OpenConnection;
 	readonly gateways: Gateways;
 	/** Whether this host reads the store, and tells others how far the primary's log is. */
 	readonly isReading: () => boolean;
@@ -42,7 +42,7 @@
 /** Creates what a host keeps of a group of instances. */
 export function createSessionGroup(name: string, options: Options): SessionGroup {
 	const {
-		zone, openLink, gateways, now, log, findWorkspace, isReading,
+		zone, openConnection: openLink, gateways, now, log, findWorkspace, isReading,
 	} = options;
 	const instances = new Map<string, InstanceRuntime>();
 	const waiters = new Set<() => void>();
@@ -94,7 +94,7 @@
 			const known = instances.get(entry.id);
 			if (known === undefined) {
 				instances.set(entry.id, createInstanceRuntime(entry, {
-					openLink, gateways, limit, now: () => now().steady,
+					openConnection: openLink, gateways, limit, now: () => now().steady,
 				}));
 			} else {
 				known.update(entry);
--- a/packages/sessions/instance-link.ts
+++ b/packages/sessions/instance-connection.ts
@@ -2,7 +2,7 @@
 import type {InstanceRequest} from './instance-request.ts';
 
 /** An open connection to an instance; it belongs to one workspace. */
-export type InstanceLink = {
+export type InstanceConnection = {
 	/** Sends a request; answers come in the order of the requests. */
 	readonly send: (request: InstanceRequest) => Promise<InstanceAnswer>;
 	readonly close: () => void;
--- a/packages/sessions/instance-pool.ts
+++ b/packages/sessions/instance-pool.ts
@@ -1,5 +1,5 @@
 import type {AcquireOutcome} from './acquire-outcome.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 
 /** Who wants a connection, and for how long it may wait. */
 type Wish = {
@@ -14,9 +14,9 @@
 export type InstancePool = {
 	readonly acquire: (wish: Wish) => Promise<AcquireOutcome>;
 	/** Gives a connection back; one that is not clean is closed. */
-	readonly release: (link: PooledLink, isClean: boolean) => void;
+	readonly release: (link: PooledConnection, isClean: boolean) => void;
 	/** Takes an idle connection without waiting; undefined when there is none. */
-	readonly takeIdle: () => PooledLink | undefined;
+	readonly takeIdle: () => PooledConnection | undefined;
 	readonly load: () => {readonly busy: number; readonly idle: number; readonly waiting: number; readonly limit: number};
 	/** Closes connections that have been idle since before a moment, in steady milliseconds. */
 	readonly dropIdle: (before: number) => void;
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -5,7 +5,7 @@
 import type {InstanceRequest} from './instance-request.ts';
 import type {JobRunner} from './job-runner.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 import type {RunJob} from './run-job.ts';
 
 /** An instance as a host uses it. */
@@ -16,7 +16,7 @@
 	/** This host's own connections. */
 	readonly pool: InstancePool;
 	/** Sends a request on an own connection and gives it up after `timeout` milliseconds, which closes the connection. */
-	readonly send: (link: PooledLink, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
+	readonly send: (link: PooledConnection, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
 	/** Runs a job on an own connection or through a gateway. */
 	readonly run: RunJob;
 	/** Makes sure that the gateway of a workspace answers, before a write needs to know. */
--- a/packages/sessions/is-answering.ts
+++ b/packages/sessions/is-answering.ts
@@ -23,7 +23,7 @@
 		return acquired.kind === 'busy' && instance.health().unansweredSince === undefined;
 	}
 
-	const {link: pooled} = acquired;
+	const {connection: pooled} = acquired;
 	const answer = await instance.send(pooled, {kind: 'reset'}, timeout);
 	pooled.values.clear();
 	pooled.prepared.clear();
--- a/packages/sessions/pooled-link.ts
+++ b/packages/sessions/pooled-connection.ts
@@ -1,8 +1,8 @@
-import type {InstanceLink} from './instance-link.ts';
+import type {InstanceConnection} from './instance-connection.ts';
 
 /** A connection of a pool, and what it holds of the session that used it last. */
-export type PooledLink = {
-	readonly link: InstanceLink;
+export type PooledConnection = {
+	readonly connection: InstanceConnection;
 	readonly workspace: string;
 	/** Values that were set on the connection, by name. */
 	readonly values: Map<string, string>;
--- a/packages/sessions/read-status.ts
+++ b/packages/sessions/read-status.ts
@@ -21,7 +21,7 @@
 		return undefined;
 	}
 
-	const answer = await instance.send(acquired.link, {kind: 'status'}, timeout);
-	instance.pool.release(acquired.link, answer.kind === 'answered' && answer.state === 'idle');
+	const answer = await instance.send(acquired.connection, {kind: 'status'}, timeout);
+	instance.pool.release(acquired.connection, answer.kind === 'answered' && answer.state === 'idle');
 	return answer.kind === 'answered' && answer.outcome.kind === 'done' ? parseStatus(answer.outcome.rows[0] ?? '') : undefined;
 }
--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -3,7 +3,7 @@
 import type {GroupRow} from './group-row.ts';
 import type {InstanceAnswer} from './instance-answer.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 import {replacePrimary} from './replace-primary.ts';
 import type {Replacement} from './replacement.ts';
 import type {SessionGroup} from './session-group.ts';
@@ -15,8 +15,8 @@
 const now = () => ({steady: performance.now(), wall: Date.now()});
 
 function createInstance(id: string, says: () => string | undefined): InstanceRuntime {
-	const link: PooledLink = {
-		link: {
+	const link: PooledConnection = {
+		connection: {
 			send: async () => ({kind: 'lost', reason: ''}),
 			close: () => undefined,
 			isClosed: () => false,
@@ -40,7 +40,7 @@
 			throw new Error('The health is not asked for');
 		},
 		pool: {
-			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', link, openSpan: 0},
+			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', connection: link, openSpan: 0},
 			release: () => undefined,
 			takeIdle: () => undefined,
 			load: () => ({
--- a/packages/sessions/run-work.ts
+++ b/packages/sessions/run-work.ts
@@ -4,7 +4,7 @@
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {JobAnswer} from './job-answer.ts';
 import {notSent} from './not-sent.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 import type {SessionValues} from './session-values.ts';
 import type {Work} from './work.ts';
 
@@ -21,7 +21,7 @@
 };
 
 /** Runs work on a connection, after bringing that to the session's values. */
-export async function runWork(pooled: PooledLink, options: Options): Promise<JobAnswer> {
+export async function runWork(pooled: PooledConnection, options: Options): Promise<JobAnswer> {
 	const {
 		send, setup, work, after, isInTransaction, timeout, maySend,
 	} = options;
@@ -29,7 +29,7 @@
 		setup, prepared: work.execute?.name, isInTransaction, send: async request => send(pooled, request, timeout),
 	});
 	if (!isReady) {
-		pooled.link.close();
+		pooled.connection.close();
 		return {kind: 'notSent', reason: 'the connection did not take the session\'s values'};
 	}
 
--- a/packages/sessions/send-step-down.ts
+++ b/packages/sessions/send-step-down.ts
@@ -15,8 +15,8 @@
 		const instance = group.findInstance(id);
 		const acquired = await instance?.pool.acquire({workspace, priority: 0, timeout: statusTimeout});
 		if (instance !== undefined && acquired?.kind === 'acquired') {
-			const answer = await instance.send(acquired.link, {kind: 'stepDown', term}, statusTimeout);
-			instance.pool.release(acquired.link, answer.kind === 'answered' && answer.state === 'idle');
+			const answer = await instance.send(acquired.connection, {kind: 'stepDown', term}, statusTimeout);
+			instance.pool.release(acquired.connection, answer.kind === 'answered' && answer.state === 'idle');
 			if (answer.kind === 'answered') {
 				log.info({group: group.name, instance: id, term}, 'failover: The old primary is told to step down.');
 				return;
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -19,7 +19,7 @@
 import type {Instant} from './instant.ts';
 import type {KnownTable} from './known-table.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import type {OpenLink} from './open-link.ts';
+import type {OpenConnection} from './open-connection.ts';
 import type {OrderPromotion} from './order-promotion.ts';
 import type {SessionContext} from './session-context.ts';
 import type {SessionGroup} from './session-group.ts';
@@ -31,7 +31,7 @@
 type Options = {
 	readonly profile: HostProfile;
 	readonly store: Store;
-	readonly openLink: OpenLink;
+	readonly openConnection: OpenConnection;
 	readonly orderPromotion: OrderPromotion;
 	/** Opens the way to another host. */
 	readonly createPeer: (address: string) => FleetPeer;
@@ -135,7 +135,7 @@
 		for (const [name, cap] of findDirectory()?.directory.connectionCaps ?? []) {
 			const group = groups.get(name) ?? createSessionGroup(name, {
 				zone: profile.zone,
-				openLink: options.openLink,
+				openConnection: options.openConnection,
 				gateways,
 				now,
 				log,
