--- a/packages/sessions/acquire-outcome.ts
+++ b/packages/sessions/acquire-outcome.ts
@@ -6,7 +6,7 @@
 		readonly kind: 'acquired';
 		readonly connection: PooledConnection;
 		/** Milliseconds that opening it took; 0 for one that was open. */
-		readonly openSpan: number;
+		readonly openMs: number;
 	}
 	/** All connections are in use, or the instance takes no more. */
 	| {readonly kind: 'busy'}
--- a/packages/sessions/create-gateway.test.ts
+++ b/packages/sessions/create-gateway.test.ts
@@ -60,8 +60,8 @@
 		gateway.close();
 		expect(await gateway.runJob({group: 'g', id: 'known'}, single)).to.equal('notServed');
 		expect(await gateway.runJob({group: 'g', id: 'known'}, within)).to.include({kind: 'answered'});
-		expect(gateway.countOpen()).to.equal(1);
+		expect(gateway.countActive()).to.equal(1);
 		await gateway.runJob({group: 'g', id: 'known'}, {kind: 'rollback', transaction: 5});
-		expect(gateway.countOpen()).to.equal(0);
+		expect(gateway.countActive()).to.equal(0);
 	});
 });
--- a/packages/sessions/create-gateway.ts
+++ b/packages/sessions/create-gateway.ts
@@ -15,7 +15,7 @@
 	/** Takes no new work; transactions that are open may end. */
 	readonly close: () => void;
 	/** Jobs and transactions under way. */
-	readonly countOpen: () => number;
+	readonly countActive: () => number;
 };
 
 /**
@@ -54,6 +54,6 @@
 		close() {
 			isClosed = true;
 		},
-		countOpen: () => running + transactions.size,
+		countActive: () => running + transactions.size,
 	};
 }
--- a/packages/sessions/create-gateways.ts
+++ b/packages/sessions/create-gateways.ts
@@ -12,7 +12,7 @@
 	/** Hosts that connect to each instance now. */
 	readonly findCount: () => number;
 	/** Whether each gateway of a group's instances may hold a connection for every workspace. */
-	readonly isRoomy: (group: string) => boolean;
+	readonly hasConnectionPerWorkspace: (group: string) => boolean;
 	/** Present steady milliseconds. */
 	readonly now: () => number;
 };
@@ -35,7 +35,7 @@
 
 /** Creates the ways to instances through other hosts. */
 export function createGateways({
-	own, findFleet, findPeer, findCount, isRoomy, now,
+	own, findFleet, findPeer, findCount, hasConnectionPerWorkspace: isRoomy, now,
 }: Options): Gateways {
 	const reaches = new Map<string, Reach>();
 	/** Until when a host is not used for an instance, because it cannot reach that. */
@@ -60,7 +60,7 @@
 		const count = findCount();
 		const key = `${instance.id} ${instance.zone} ${workspace ?? ''} ${count} ${String(hasRoom)}`;
 		const known = ranks.get(key) ?? rankGateways({
-			instance, workspace, self: own.name, zone: own.zone, count, isRoomy: hasRoom, hosts: [...fleet?.hosts.values() ?? []],
+			instance, workspace, self: own.name, zone: own.zone, count, hasConnectionPerWorkspace: hasRoom, hosts: [...fleet?.hosts.values() ?? []],
 		});
 		ranks.set(key, known);
 		return known;
--- a/packages/sessions/create-instance-pool.ts
+++ b/packages/sessions/create-instance-pool.ts
@@ -78,7 +78,7 @@
 			connection: outcome.connection, workspace, values: new Map(), prepared: new Map(), isBusy: true, idleSince: 0,
 		};
 		links.add(link);
-		return {kind: 'acquired', connection: link, openSpan: options.now() - startedAt};
+		return {kind: 'acquired', connection: link, openMs: options.now() - startedAt};
 	};
 
 	const take = (workspace: string): PooledConnection | undefined => {
@@ -110,7 +110,7 @@
 			makePlace();
 			waiter.resolve(await open(waiter.workspace));
 		} else {
-			waiter.resolve({kind: 'acquired', connection: link, openSpan: 0});
+			waiter.resolve({kind: 'acquired', connection: link, openMs: 0});
 		}
 	};
 
@@ -159,7 +159,7 @@
 		async acquire({workspace, priority, timeout}) {
 			const idle = waiting === 0 ? take(workspace) : undefined;
 			if (idle !== undefined) {
-				return {kind: 'acquired', connection: idle, openSpan: 0};
+				return {kind: 'acquired', connection: idle, openMs: 0};
 			}
 
 			if (waiting === 0 && makePlace()) {
@@ -185,13 +185,13 @@
 
 			return link;
 		},
-		load() {
+		readLoad() {
 			const idle = listIdle().length;
 			return {
 				busy: links.size + opening - idle, idle, waiting, limit,
 			};
 		},
-		dropIdle(before) {
+		closeIdle(before) {
 			for (const link of listIdle()) {
 				if (link.idleSince < before) {
 					drop(link);
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -79,7 +79,7 @@
 			listed: () => listed, local: runLocally, gateways, note, now,
 		}),
 		runLocally,
-		reach(workspace) {
+		checkGateway(workspace) {
 			const [gateway = gateways.self] = gateways.list(listed, workspace);
 			if (gateway !== gateways.self && !gateways.isAvoided(gateway, listed)) {
 				void gateways.isAnswering(gateway, {isRepeatable: false});
@@ -91,7 +91,7 @@
 		health: () => health,
 		pool,
 		send,
-		noteLag(lacks) {
+		recordLag(lacks) {
 			note({kind: 'lagging', lacks});
 		},
 	};
--- a/packages/sessions/create-job-clock.ts
+++ b/packages/sessions/create-job-timer.ts
@@ -1,7 +1,7 @@
 import type {JobSpans} from './job-spans.ts';
 
 /** Measures the parts of a job while it runs. */
-type JobClock = {
+type JobTimer = {
 	/** Says that a connection was had, and how many milliseconds of the wait went into opening it. */
 	readonly noteAcquired: (openSpan: number) => void;
 	/** Says that the connection has the session's values, and the work goes out. */
@@ -15,7 +15,7 @@
  *
  * @param now Present steady milliseconds.
  */
-export function createJobClock(now: () => number): JobClock {
+export function createJobTimer(now: () => number): JobTimer {
 	const startedAt = now();
 	let acquiredAt = startedAt;
 	let openSpan = 0;
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -1,5 +1,5 @@
 import {applySetup} from './apply-setup.ts';
-import {createJobClock} from './create-job-clock.ts';
+import {createJobTimer} from './create-job-timer.ts';
 import type {InstancePool} from './instance-pool.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {JobAnswer} from './job-answer.ts';
@@ -20,7 +20,7 @@
 
 type JobOf<Kind extends Job['kind']> = Extract<Job, {readonly kind: Kind}>;
 
-type JobClock = ReturnType<typeof createJobClock>;
+type JobClock = ReturnType<typeof createJobTimer>;
 
 type OpenTransaction = {
 	readonly pooled: PooledConnection;
@@ -57,7 +57,7 @@
 	const acquire = async ({workspace, priority, timeout}: Pick<JobOf<'single' | 'begin'>, 'workspace' | 'priority' | 'timeout'>, clock: JobClock) => {
 		const acquired = await pool.acquire({workspace, priority, timeout});
 		if (acquired.kind === 'acquired') {
-			clock.noteAcquired(acquired.openSpan);
+			clock.noteAcquired(acquired.openMs);
 			return acquired.connection;
 		}
 
@@ -68,7 +68,7 @@
 
 	const runSingle = async (job: JobOf<'single'>, maySend: () => boolean): Promise<JobAnswer> => {
 		const deadline = now() + job.timeout;
-		const clock = createJobClock(now);
+		const clock = createJobTimer(now);
 		const pooled = await acquire(job, clock);
 		if ('kind' in pooled) {
 			return pooled;
@@ -95,7 +95,7 @@
 
 	const begin = async (job: JobOf<'begin'>, maySend: () => boolean): Promise<JobAnswer> => {
 		const deadline = now() + job.timeout;
-		const clock = createJobClock(now);
+		const clock = createJobTimer(now);
 		const pooled = await acquire(job, clock);
 		if ('kind' in pooled) {
 			return pooled;
@@ -148,7 +148,7 @@
 		}
 
 		clearTimeout(open.idleTimer);
-		const clock = createJobClock(now);
+		const clock = createJobTimer(now);
 		const answer = await runWork(open.pooled, {
 			send,
 			setup,
@@ -176,7 +176,7 @@
 			return {kind: 'notSent', reason: 'the transaction is not open any more'};
 		}
 
-		const clock = createJobClock(now);
+		const clock = createJobTimer(now);
 		clock.noteSent();
 		const answer = await send(pooled, {kind: 'forward', id, text}, timeout);
 		pool.release(pooled, isClean(answer, pooled));
@@ -195,7 +195,7 @@
 	};
 
 	const askPosition = async (workspace: string): Promise<JobAnswer> => {
-		const pooled = pool.takeIdle() ?? await acquire({workspace, priority: 0, timeout: positionPatience}, createJobClock(now));
+		const pooled = pool.takeIdle() ?? await acquire({workspace, priority: 0, timeout: positionPatience}, createJobTimer(now));
 		if ('kind' in pooled) {
 			return pooled;
 		}
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -129,7 +129,7 @@
 	const dropForeignLinks = () => {
 		for (const instance of instances.values()) {
 			if (!gateways.list(instance.listed(), undefined).includes(gateways.self)) {
-				instance.pool.dropIdle(now().steady - foreignLinkSpan);
+				instance.pool.closeIdle(now().steady - foreignLinkSpan);
 			}
 		}
 	};
@@ -138,7 +138,7 @@
 		const candidates = [...instances.values()]
 			.filter(instance => !instance.listed().isDeparting)
 			.map(instance => {
-				const {busy, waiting, limit} = instance.pool.load();
+				const {busy, waiting, limit} = instance.pool.readLoad();
 				const {id, zone: instanceZone} = instance.listed();
 				return {
 					id,
@@ -153,7 +153,7 @@
 			.filter(instance => instance !== undefined);
 	};
 
-	const noteAnswer: SessionGroup['noteAnswer'] = (instance, answer, asked) => {
+	const noteAnswer: SessionGroup['recordAnswer'] = (instance, answer, asked) => {
 		const isSample = answer.kind === 'answered' && instance === row?.primary && asked.epoch === row.epoch && row.state === 'serving';
 		if (isSample && answer.position !== undefined) {
 			samples = addSample(samples, {askedAt: asked.at, position: answer.position});
@@ -217,24 +217,24 @@
 		},
 		findInstance: id => instances.get(id),
 		listInstances: () => [...instances.values()],
-		findRequired(read) {
+		findRequiredPosition(read) {
 			wantedAt = now().steady;
 			return row === undefined ? undefined : findRequiredPosition({samples, epoch: row.epoch, ...read});
 		},
 		listReaders,
-		noteAnswer,
+		recordAnswer: noteAnswer,
 		findNewestPosition() {
 			const newest = samples.at(-1);
 			return newest && row && {
 				group: name, epoch: row.epoch, position: newest.position, age: findElapsed(newest.askedAt, now()),
 			};
 		},
-		notePosition({epoch, position, age}, from) {
+		recordPosition({epoch, position, age}, from) {
 			if (epoch === row?.epoch && row.state === 'serving') {
 				samples = addSample(samples, {askedAt: {steady: from.steady - age, wall: from.wall - age}, position});
 			}
 		},
-		async probe() {
+		async step() {
 			dropMissing();
 			dropForeignLinks();
 			const last = samples.at(-1);
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -135,7 +135,7 @@
 		const group = access?.kind === 'allowed' ? context.findGroup(access.route.group) : undefined;
 		const view = group?.primary();
 		if (access?.kind === 'allowed' && view?.kind === 'leased') {
-			group?.findInstance(view.instance)?.reach(access.workspace);
+			group?.findInstance(view.instance)?.checkGateway(access.workspace);
 		}
 	};
 
--- a/packages/sessions/create-transaction.ts
+++ b/packages/sessions/create-transaction.ts
@@ -155,7 +155,7 @@
 				return createFailure('unknown', 'The primary was replaced while the commit ran');
 			}
 
-			operation.group.noteAnswer(instance.listed().id, answer, {at: askedAt, epoch});
+			operation.group.recordAnswer(instance.listed().id, answer, {at: askedAt, epoch});
 			operation.setMark({epoch, position: answer.position});
 			return answer.outcome;
 		},
--- a/packages/sessions/host-profile.ts
+++ b/packages/sessions/host-profile.ts
@@ -25,10 +25,10 @@
 	/** Where promotions are ordered. */
 	readonly promotions: Address;
 	/** Milliseconds after which a withdrawn key must have stopped working everywhere. */
-	readonly revocationLimit: number;
+	readonly revocationLimitMs: number;
 	/** Milliseconds after which an accepted configuration must be in force. */
-	readonly configurationLimit: number;
+	readonly configurationLimitMs: number;
 	readonly rateBound: RateBound;
 	/** Milliseconds from the request to stop until the process is killed. */
-	readonly graceSpan: number;
+	readonly gracePeriodMs: number;
 };
--- a/packages/sessions/instance-pool.ts
+++ b/packages/sessions/instance-pool.ts
@@ -17,9 +17,9 @@
 	readonly release: (link: PooledConnection, isClean: boolean) => void;
 	/** Takes an idle connection without waiting; undefined when there is none. */
 	readonly takeIdle: () => PooledConnection | undefined;
-	readonly load: () => {readonly busy: number; readonly idle: number; readonly waiting: number; readonly limit: number};
+	readonly readLoad: () => {readonly busy: number; readonly idle: number; readonly waiting: number; readonly limit: number};
 	/** Closes connections that have been idle since before a moment, in steady milliseconds. */
-	readonly dropIdle: (before: number) => void;
+	readonly closeIdle: (before: number) => void;
 	readonly setLimit: (limit: number) => void;
 	/** Closes idle connections now and others when they are given back. */
 	readonly close: () => void;
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -20,9 +20,9 @@
 	/** Runs a job on an own connection or through a gateway. */
 	readonly run: RunJob;
 	/** Makes sure that the gateway of a workspace answers, before a write needs to know. */
-	readonly reach: (workspace: string) => void;
+	readonly checkGateway: (workspace: string) => void;
 	/** Runs a job on an own connection. */
 	readonly runLocally: JobRunner;
 	/** Takes note that the instance said it lacks a position. */
-	readonly noteLag: (lacks: LogPoint) => void;
+	readonly recordLag: (lacks: LogPoint) => void;
 };
--- a/packages/sessions/open-transaction.ts
+++ b/packages/sessions/open-transaction.ts
@@ -65,7 +65,7 @@
 	if (answer.kind === 'answered' && answer.transaction !== undefined) {
 		operation.trace.addJob(answer.spans);
 		if (epoch !== undefined) {
-			group.noteAnswer(id, answer, {at: askedAt, epoch});
+			group.recordAnswer(id, answer, {at: askedAt, epoch});
 		}
 
 		return {
@@ -74,7 +74,7 @@
 	}
 
 	if (after !== undefined && answer.kind === 'answered' && answer.outcome.kind === 'failed' && answer.outcome.code === 'lagging') {
-		instance.noteLag(after);
+		instance.recordLag(after);
 	}
 
 	return {kind: 'failed', outcome: createBusy(`Instance ${id} did not begin the transaction: ${describeAnswer(answer)}`, 100)};
--- a/packages/sessions/rank-gateways.test.ts
+++ b/packages/sessions/rank-gateways.test.ts
@@ -5,7 +5,7 @@
 const hosts = ['a', 'b', 'c'].flatMap(zone => Array.from({length: 8}, (_, index) => ({name: `${zone}${index}`, zone})));
 const instance = {id: 'i-1', zone: 'b'};
 const shared = {
-	instance, self: 'none', count: 3, isRoomy: false,
+	instance, self: 'none', count: 3, hasConnectionPerWorkspace: false,
 } as const;
 
 describe('rankGateways', () => {
@@ -49,19 +49,19 @@
 	const other = hosts.find(({name, zone}) => zone === 'b' && !gateways.includes(name))?.name ?? '';
 	const cases = [
 		{
-			name: 'runs the work of its own callers itself where there is room', self: gateways, isRoomy: true, isOwnFirst: true,
+			name: 'runs the work of its own callers itself where there is room', self: gateways, hasConnectionPerWorkspace: true, isOwnFirst: true,
 		},
 		{
-			name: 'leaves work to the gateway of the workspace where there is none', self: gateways, isRoomy: false, isOwnFirst: false,
+			name: 'leaves work to the gateway of the workspace where there is none', self: gateways, hasConnectionPerWorkspace: false, isOwnFirst: false,
 		},
 		{
-			name: 'sends work to a gateway when it is none', self: [other], isRoomy: true, isOwnFirst: false,
+			name: 'sends work to a gateway when it is none', self: [other], hasConnectionPerWorkspace: true, isOwnFirst: false,
 		},
 	];
-	for (const {name, self: selves, isRoomy, isOwnFirst} of cases) {
+	for (const {name, self: selves, hasConnectionPerWorkspace, isOwnFirst} of cases) {
 		it(name, () => {
 			const firsts = selves.map(self => rankGateways({
-				...shared, self, isRoomy, workspace: 'upper', zone: 'b', hosts,
+				...shared, self, hasConnectionPerWorkspace, workspace: 'upper', zone: 'b', hosts,
 			}));
 			expect(firsts.every((hostsInOrder, index) => hostsInOrder[0] === selves[index])).to.equal(isOwnFirst);
 			expect(firsts.every(hostsInOrder => new Set(hostsInOrder).size === hostsInOrder.length)).to.equal(true);
--- a/packages/sessions/rank-gateways.ts
+++ b/packages/sessions/rank-gateways.ts
@@ -12,7 +12,7 @@
 	/** Hosts that connect to the instance; see `findGatewayCount`. */
 	readonly count: number;
 	/** Whether each gateway may hold a connection for every workspace. */
-	readonly isRoomy: boolean;
+	readonly hasConnectionPerWorkspace: boolean;
 	readonly hosts: ReadonlyArray<Pick<HostRow, 'name' | 'zone'>>;
 };
 
@@ -32,7 +32,7 @@
  * is lost.
  */
 export function rankGateways({
-	instance, workspace, self, zone, count, isRoomy, hosts,
+	instance, workspace, self, zone, count, hasConnectionPerWorkspace, hosts,
 }: Options): readonly string[] {
 	const local = listZone(hosts, instance.zone);
 	const ranked = rankHosts(`gateway/${instance.id}`, local);
@@ -40,7 +40,7 @@
 	const ordered = workspace === undefined ? gateways : rankHosts(`workspace/${workspace}`, gateways);
 	const spares = ranked.slice(count, count + spareCount);
 	const backups = zone === instance.zone ? [] : rankHosts(`gateway/${instance.id}`, listZone(hosts, zone)).slice(0, backupCount);
-	const own = isRoomy && workspace !== undefined ? ordered.filter(name => name === self) : [];
+	const own = hasConnectionPerWorkspace && workspace !== undefined ? ordered.filter(name => name === self) : [];
 	return [...new Set([...own, ...ordered, ...spares, ...backups])];
 }
 
--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -34,19 +34,19 @@
 		listed: () => ({
 			id, group: 'pondbook', host: '', port: 0, zone: 'a', slots: 5, isDeparting: false, role: 'replica',
 		}),
-		reach: () => undefined,
+		checkGateway: () => undefined,
 		update: () => undefined,
 		health() {
 			throw new Error('The health is not asked for');
 		},
 		pool: {
-			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', connection: link, openSpan: 0},
+			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', connection: link, openMs: 0},
 			release: () => undefined,
 			takeIdle: () => undefined,
-			load: () => ({
+			readLoad: () => ({
 				busy: 0, idle: 0, waiting: 0, limit: 1,
 			}),
-			dropIdle: () => undefined,
+			closeIdle: () => undefined,
 			setLimit: () => undefined,
 			close: () => undefined,
 		},
@@ -57,7 +57,7 @@
 		runLocally() {
 			throw new Error('No job is run');
 		},
-		noteLag: () => undefined,
+		recordLag: () => undefined,
 	};
 }
 
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -68,7 +68,7 @@
 
 	operation.trace.addJob(answer.spans);
 	const view = group.primary();
-	group.noteAnswer(id, answer, {at: askedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
+	group.recordAnswer(id, answer, {at: askedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
 	if (answer.outcome.kind === 'done') {
 		operation.trace.addStep(`${id}: done`);
 		return {kind: 'done', outcome: answer.outcome};
@@ -77,7 +77,7 @@
 	const {code} = answer.outcome;
 	operation.trace.addStep(`${id}: ${code}`);
 	if (code === 'lagging' && after !== undefined) {
-		instance.noteLag(after);
+		instance.recordLag(after);
 	}
 
 	const outcome = hasNotRun(code) ? createBusy(`Instance ${id} answered ${code}`, 100) : answer.outcome;
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -74,7 +74,7 @@
 	}
 
 	operation.trace.addJob(answer.spans);
-	group.noteAnswer(id, answer, {at: askedAt, epoch});
+	group.recordAnswer(id, answer, {at: askedAt, epoch});
 	if (answer.outcome.kind === 'failed') {
 		return hasNotRun(answer.outcome.code)
 			? {outcome: createBusy(`The primary ${id} answered ${answer.outcome.code}`, 100), isFinal: false}
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -29,15 +29,15 @@
 	readonly findInstance: (id: string) => InstanceRuntime | undefined;
 	readonly listInstances: () => readonly InstanceRuntime[];
 	/** Position that a log must hold for a read; undefined when only the primary can tell. */
-	readonly findRequired: (read: {readonly maxStaleness: number; readonly mark: SessionMark | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
+	readonly findRequiredPosition: (read: {readonly maxStaleness: number; readonly mark: SessionMark | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
 	/** Instances that may serve a read, best first. */
 	readonly listReaders: (required: LogPoint) => readonly InstanceRuntime[];
 	/** Takes note of the position in an answer of the primary. */
-	readonly noteAnswer: (instance: string, answer: InstanceAnswer, asked: {readonly at: Instant; readonly epoch: number}) => void;
+	readonly recordAnswer: (instance: string, answer: InstanceAnswer, asked: {readonly at: Instant; readonly epoch: number}) => void;
 	/** Newest known position of the primary's log; undefined when none is known. */
 	readonly findNewestPosition: () => PositionOfAge | undefined;
 	/** Takes note of a position that another host knows; its age counts from the moment given. */
-	readonly notePosition: (position: PositionOfAge, from: Instant) => void;
+	readonly recordPosition: (position: PositionOfAge, from: Instant) => void;
 	/** Asks the primary for its position if no answer has told it lately. */
-	readonly probe: () => Promise<void>;
+	readonly step: () => Promise<void>;
 };
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -124,7 +124,7 @@
 		findFleet,
 		findPeer,
 		findCount: findGateways,
-		isRoomy(group) {
+		hasConnectionPerWorkspace(group) {
 			const directory = findDirectory()?.directory;
 			return findConnectionLimit(directory?.connectionCaps.get(group) ?? 0, findGateways()) >= (directory?.limits.size ?? Number.POSITIVE_INFINITY);
 		},
@@ -172,7 +172,7 @@
 		listPositions: () => [...groups.values()].map(group => group.findNewestPosition()).filter(position => position !== undefined),
 		onPositions(positions, from) {
 			for (const position of positions) {
-				groups.get(position.group)?.notePosition(position, from);
+				groups.get(position.group)?.recordPosition(position, from);
 			}
 		},
 		now,
@@ -183,14 +183,14 @@
 		control.step();
 		rates.step();
 		for (const group of groups.values()) {
-			void group.probe();
+			void group.step();
 		}
 	};
 
 	const timer = setInterval(tick, tickInterval);
 
 	const findCallerAccess = (caller: Caller) => findAccess(findDirectory(), {
-		...caller, revocationLimit: profile.revocationLimit, newsLimit: profile.configurationLimit, now: now(),
+		...caller, revocationLimit: profile.revocationLimitMs, newsLimit: profile.configurationLimitMs, now: now(),
 	});
 
 	const gateway = createGateway({
@@ -209,7 +209,7 @@
 	};
 
 	const registry = createSessionRegistry({
-		context, onSessions: options.onSessions, countForeign: gateway.countOpen, graceSpan: profile.graceSpan, now,
+		context, onSessions: options.onSessions, countForeign: gateway.countActive, graceSpan: profile.gracePeriodMs, now,
 	});
 
 	return {
@@ -226,7 +226,7 @@
 		async stop(closeDoor) {
 			isStopping = true;
 			gateway.close();
-			log.info({sessions: registry.count(), foreign: gateway.countOpen()}, 'host: The host stops; it takes no new callers.');
+			log.info({sessions: registry.count(), foreign: gateway.countActive()}, 'host: The host stops; it takes no new callers.');
 			await registry.stop(closeDoor);
 			await Promise.race([control.leave(), sleep(leaveLimit)]);
 			clearInterval(timer);
