--- a/packages/sessions/acquire-outcome.ts
+++ b/packages/sessions/acquire-outcome.ts
@@ -1,13 +1,14 @@
 import type {PooledConnection} from './pooled-connection.ts';
 
-/** Whether a connection of a pool could be had. */
+/** The outcome of acquiring a connection from a pool. */
 export type AcquireOutcome =
 	| {
 		readonly kind: 'acquired';
 		readonly connection: PooledConnection;
-		/** Milliseconds that opening it took; 0 for one that was open. */
+		/** Milliseconds spent on opening the connection; 0 if an idle one was reused. */
 		readonly openMs: number;
 	}
-	/** All connections are in use, or the instance takes no more. */
+	/** All connections are in use, or the instance refused a new one. */
 	| {readonly kind: 'busy'}
+	/** The instance could not be reached, or answered that it has moved. */
 	| {readonly kind: 'unreachable'};
--- a/packages/sessions/create-gateway.test.ts
+++ b/packages/sessions/create-gateway.test.ts
@@ -29,7 +29,7 @@
 };
 const denied: Access = {kind: 'denied', code: 'badKey', reason: ''};
 
-/** Creates a gateway before an instance that runs whatever it may. */
+/** Creates a gateway to an instance that runs every job that may still be sent. */
 function createCase(access: Access | undefined) {
 	const instance = {
 		runLocally: async (job: Job, maySend: () => boolean): Promise<JobAnswer> =>
@@ -44,17 +44,17 @@
 }
 
 describe('createGateway', () => {
-	it('runs jobs for an instance that it knows, and no others', async () => {
+	it('runs jobs for known instances only', async () => {
 		const gateway = createCase(undefined);
 		expect(await gateway.runJob({group: 'g', id: 'known'}, single)).to.deep.equal(done);
 		expect(await gateway.runJob({group: 'g', id: 'other'}, single)).to.equal('notServed');
 	});
 
-	it('sends nothing for a key that was withdrawn while the job was on its way', async () => {
+	it('sends nothing for a key that was revoked while the job was in transit', async () => {
 		expect(await createCase(denied).runJob({group: 'g', id: 'known'}, single)).to.include({kind: 'notSent'});
 	});
 
-	it('lets open transactions end after it is closed, and begins nothing', async () => {
+	it('lets open transactions finish after it is closed, but accepts no new work', async () => {
 		const gateway = createCase(undefined);
 		await gateway.runJob({group: 'g', id: 'known'}, begin);
 		gateway.close();
--- a/packages/sessions/create-gateway.ts
+++ b/packages/sessions/create-gateway.ts
@@ -8,21 +8,21 @@
 	readonly findAccess: (caller: Caller) => Access;
 };
 
-/** What a host does for others that send work to instances through it. */
+/** Runs jobs of other hosts on this host's connections to instances. */
 type Gateway = {
-	/** Runs a job of another host; refuses those that begin something once the gateway is closed. */
+	/** Runs a job of another host. A closed gateway refuses single statements, new transactions and position queries. */
 	readonly runJob: FleetPeer['runJob'];
-	/** Takes no new work; transactions that are open may end. */
+	/** Stops accepting new work; open transactions may still finish. */
 	readonly close: () => void;
-	/** Jobs and transactions under way. */
+	/** Counts running jobs and open transactions. */
 	readonly countActive: () => number;
 };
 
 /**
  * Creates the gateway of a host.
  *
- * A message may be held up on its way for longer than a key or a right lasts. So the gateway asks again, by what it
- * knows itself, before it sends anything for a caller.
+ * A message between hosts may be delayed until after the caller's key or permission was revoked. The gateway therefore
+ * checks the caller's access again, against its own copy of the configuration, before it sends anything to the instance.
  */
 export function createGateway({findInstance, findAccess}: Options): Gateway {
 	let running = 0;
@@ -44,8 +44,8 @@
 				transactions.add(answer.transaction);
 			}
 
-			const isOver = 'transaction' in job && (job.kind !== 'within' || answer.kind === 'notSent');
-			if (isOver) {
+			const hasEnded = 'transaction' in job && (job.kind !== 'within' || answer.kind === 'notSent');
+			if (hasEnded) {
 				transactions.delete(job.transaction);
 			}
 
--- a/packages/sessions/create-gateways.ts
+++ b/packages/sessions/create-gateways.ts
@@ -9,43 +9,45 @@
 	readonly own: HostRow;
 	readonly findFleet: () => FleetRows | undefined;
 	readonly findPeer: (host: string) => FleetPeer | undefined;
-	/** Hosts that connect to each instance now. */
+	/** Returns the present number of gateways of each instance. */
 	readonly findCount: () => number;
-	/** Whether each gateway of a group's instances may hold a connection for every workspace. */
+	/** Whether the connection limit of a group lets each gateway hold a connection for every workspace. */
 	readonly hasConnectionPerWorkspace: (group: string) => boolean;
-	/** Present steady milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
-/** What is known of another host; times in steady milliseconds. */
-type Reach = {
-	heardAt: number;
+/** Reachability of another host; times in monotonic milliseconds. */
+type Reachability = {
+	lastAnswerAt: number;
 	avoidedUntil: number;
-	asking: Promise<boolean> | undefined;
+	/** The ping in flight, if any. */
+	ping: Promise<boolean> | undefined;
 };
 
 /**
- * Milliseconds for which a host that answered is taken to answer still. A read whose answer is lost runs again elsewhere,
- * but a write then has an unknown outcome.
+ * Milliseconds after an answer for which a host counts as reachable without a new ping. The time is shorter for work
+ * that must not be retried: a read whose answer is lost runs again elsewhere, but a write then has an unknown outcome.
  */
-const reachSpans = {repeatable: 10_000, other: 1000};
+const reachableForMs = {retryable: 10_000, other: 1000};
 
-/** Milliseconds for which a host that did not answer is not used. */
-const avoidance = 1000;
+/** Milliseconds for which a host is not used after it did not answer, did not serve a job or could not reach the instance. */
+const backoffMs = 1000;
 
-/** Creates the ways to instances through other hosts. */
+/** Creates the access to instances through other hosts. */
 export function createGateways({
-	own, findFleet, findPeer, findCount, hasConnectionPerWorkspace: isRoomy, now,
+	own, findFleet, findPeer, findCount, hasConnectionPerWorkspace, now,
 }: Options): Gateways {
-	const reaches = new Map<string, Reach>();
-	/** Until when a host is not used for an instance, because it cannot reach that. */
-	const cutUntil = new Map<string, number>();
+	const reachabilities = new Map<string, Reachability>();
+	/** Time until which a host is not used for an instance that it could not reach, by host and instance. */
+	const unreachableUntil = new Map<string, number>();
+	/** Results of `rankGateways` for the current list of hosts. */
 	const ranks = new Map<string, readonly string[]>();
 	let rankedFleet: FleetRows | undefined;
 
-	const findReach = (host: string): Reach => {
-		const known = reaches.get(host) ?? {heardAt: Number.NEGATIVE_INFINITY, avoidedUntil: 0, asking: undefined};
-		reaches.set(host, known);
+	const findReachability = (host: string): Reachability => {
+		const known = reachabilities.get(host) ?? {lastAnswerAt: Number.NEGATIVE_INFINITY, avoidedUntil: 0, ping: undefined};
+		reachabilities.set(host, known);
 		return known;
 	};
 
@@ -56,55 +58,55 @@
 			rankedFleet = fleet;
 		}
 
-		const hasRoom = isRoomy(instance.group);
+		const hasOnePerWorkspace = hasConnectionPerWorkspace(instance.group);
 		const count = findCount();
-		const key = `${instance.id} ${instance.zone} ${workspace ?? ''} ${count} ${String(hasRoom)}`;
+		const key = `${instance.id} ${instance.zone} ${workspace ?? ''} ${count} ${String(hasOnePerWorkspace)}`;
 		const known = ranks.get(key) ?? rankGateways({
-			instance, workspace, self: own.name, zone: own.zone, count, hasConnectionPerWorkspace: hasRoom, hosts: [...fleet?.hosts.values() ?? []],
+			instance, workspace, self: own.name, zone: own.zone, count, hasConnectionPerWorkspace: hasOnePerWorkspace, hosts: [...fleet?.hosts.values() ?? []],
 		});
 		ranks.set(key, known);
 		return known;
 	};
 
-	const ask = async (host: string, reach: Reach) => {
+	const ping = async (host: string, reachability: Reachability) => {
 		const isAnswering = await findPeer(host)?.ping() ?? false;
-		reach.asking = undefined;
+		reachability.ping = undefined;
 		if (isAnswering) {
-			reach.heardAt = now();
+			reachability.lastAnswerAt = now();
 		} else {
-			reach.avoidedUntil = now() + avoidance;
+			reachability.avoidedUntil = now() + backoffMs;
 		}
 
 		return isAnswering;
 	};
 
-	const avoid = (host: string) => {
-		findReach(host).avoidedUntil = now() + avoidance;
+	const backOff = (host: string) => {
+		findReachability(host).avoidedUntil = now() + backoffMs;
 	};
 
-	const findPair = (host: string, instance: ListedInstance) => `${host} ${instance.id}`;
+	const createPairKey = (host: string, instance: ListedInstance) => `${host} ${instance.id}`;
 
 	return {
 		self: own.name,
 		list,
-		isAvoided: (host, instance) => Math.max(findReach(host).avoidedUntil, cutUntil.get(findPair(host, instance)) ?? 0) > now(),
-		async isAnswering(host, {isRepeatable}) {
-			const reach = findReach(host);
-			if (now() - reach.heardAt < (isRepeatable ? reachSpans.repeatable : reachSpans.other)) {
+		isAvoided: (host, instance) => Math.max(findReachability(host).avoidedUntil, unreachableUntil.get(createPairKey(host, instance)) ?? 0) > now(),
+		async isAnswering(host, {isRetryable}) {
+			const reachability = findReachability(host);
+			if (now() - reachability.lastAnswerAt < (isRetryable ? reachableForMs.retryable : reachableForMs.other)) {
 				return true;
 			}
 
-			reach.asking ??= ask(host, reach);
-			return reach.asking;
+			reachability.ping ??= ping(host, reachability);
+			return reachability.ping;
 		},
 		async runJob(host, instance, job) {
 			const answer = await findPeer(host)?.runJob({group: instance.group, id: instance.id}, job);
 			if (answer === undefined || answer === 'notServed') {
-				avoid(host);
+				backOff(host);
 			} else {
-				findReach(host).heardAt = now();
+				findReachability(host).lastAnswerAt = now();
 				if (answer.kind === 'notSent' && answer.isUnreachable === true) {
-					cutUntil.set(findPair(host, instance), now() + avoidance);
+					unreachableUntil.set(createPairKey(host, instance), now() + backoffMs);
 				}
 			}
 
--- a/packages/sessions/create-instance-pool.test.ts
+++ b/packages/sessions/create-instance-pool.test.ts
@@ -2,7 +2,7 @@
 import {createInstancePool} from './create-instance-pool.ts';
 import type {OpenConnectionOutcome} from './open-connection-outcome.ts';
 
-/** Creates a pool whose connections are counted. */
+/** Creates a pool and records which connections it opens and how many it closes. */
 function createPool(limit: number, outcome?: OpenConnectionOutcome) {
 	const opened: string[] = [];
 	let closed = 0;
@@ -36,7 +36,7 @@
 }
 
 describe('createInstancePool', () => {
-	it('uses a connection of the workspace again', async () => {
+	it('reuses an idle connection of the same workspace', async () => {
 		const {pool, acquire, opened} = createPool(2);
 		const first = await acquire('upper');
 		pool.release(first!, true);
@@ -44,7 +44,7 @@
 		expect(opened).to.deep.equal(['upper']);
 	});
 
-	it('never lets two workspaces share a connection: an idle one makes place', async () => {
+	it('never shares a connection between workspaces; closes an idle one to make room', async () => {
 		const {pool, acquire, opened, countClosed} = createPool(1);
 		pool.release((await acquire('upper'))!, true);
 		const other = await acquire('lower');
@@ -52,38 +52,38 @@
 		expect({opened, closed: countClosed()}).to.deep.equal({opened: ['upper', 'lower'], closed: 1});
 	});
 
-	it('refuses when all connections stay in use', async () => {
+	it('refuses when all connections stay busy until the timeout', async () => {
 		const {acquire} = createPool(1);
 		await acquire('upper');
 		expect(await acquire('upper', {timeout: 10})).to.equal(undefined);
 	});
 
-	it('serves the most urgent first, and workspaces by turns, as when one floods', async () => {
+	it('serves the most urgent priority first, and workspaces in turn when one of them floods the pool', async () => {
 		const {pool, acquire} = createPool(1);
 		const held = await acquire('upper');
 		const order: string[] = [];
-		const want = async (workspace: string, priority: number, name: string) => {
-			const link = await acquire(workspace, {priority, timeout: 500});
+		const request = async (workspace: string, priority: number, name: string) => {
+			const connection = await acquire(workspace, {priority, timeout: 500});
 			order.push(name);
-			pool.release(link!, true);
+			pool.release(connection!, true);
 		};
 
-		const wishes = [
-			want('flood', 2, 'flood1'),
-			want('flood', 2, 'flood2'),
-			want('flood', 2, 'flood3'),
-			want('flood', 2, 'flood4'),
-			want('flood', 2, 'flood5'),
-			want('small', 2, 'small'),
-			want('small', 1, 'urgent'),
+		const requests = [
+			request('flood', 2, 'flood1'),
+			request('flood', 2, 'flood2'),
+			request('flood', 2, 'flood3'),
+			request('flood', 2, 'flood4'),
+			request('flood', 2, 'flood5'),
+			request('small', 2, 'small'),
+			request('small', 1, 'urgent'),
 		];
 		pool.release(held!, true);
-		await Promise.all(wishes);
+		await Promise.all(requests);
 		expect(order[0]).to.equal('urgent');
 		expect(order.indexOf('small')).to.be.below(order.indexOf('flood5'));
 	});
 
-	it('does not give back a connection that is not clean', async () => {
+	it('does not reuse a connection that was released as not clean', async () => {
 		const {pool, acquire, countClosed} = createPool(1);
 		const first = await acquire('upper');
 		pool.release(first!, false);
@@ -91,11 +91,11 @@
 		expect(countClosed()).to.equal(1);
 	});
 
-	it('tells a full instance from one that cannot be reached', async () => {
+	it('distinguishes a full instance from an unreachable one', async () => {
 		const full = createPool(1, {kind: 'refused', code: 'tooManyConnections'});
-		const gone = createPool(1, {kind: 'absent'});
-		const wish = {workspace: 'upper', priority: 1, timeout: 10};
-		const outcomes = await Promise.all([full.pool.acquire(wish), gone.pool.acquire(wish)]);
+		const unreachable = createPool(1, {kind: 'absent'});
+		const request = {workspace: 'upper', priority: 1, timeout: 10};
+		const outcomes = await Promise.all([full.pool.acquire(request), unreachable.pool.acquire(request)]);
 		expect(outcomes).to.deep.equal([{kind: 'busy'}, {kind: 'unreachable'}]);
 	});
 });
--- a/packages/sessions/create-instance-pool.ts
+++ b/packages/sessions/create-instance-pool.ts
@@ -9,59 +9,63 @@
 type Options = {
 	/** Opens a connection for a workspace. */
 	readonly open: (workspace: string) => Promise<OpenConnectionOutcome>;
-	/** Connections at most. */
+	/** Maximum number of connections. */
 	readonly limit: number;
-	/** Present steady milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
+/** A request that waits for a connection. */
 type Waiter = {
 	readonly workspace: string;
 	readonly priority: number;
 	readonly resolve: (outcome: AcquireOutcome) => void;
+	/** Whether the waiter is being served or has timed out. */
 	isDone: boolean;
 };
 
 /**
  * Creates the pool of connections to an instance.
  *
- * A connection belongs to a workspace. When none is left for a workspace, an idle one of another workspace is
- * closed to make place. Waiting sessions are served by priority, and fairly between workspaces within one.
+ * A connection belongs to one workspace. At the limit, the connection that has been idle for longest is closed to make
+ * room for a new one. Waiting requests are served by priority, and fairly between workspaces within a priority.
  */
 export function createInstancePool(options: Options): InstancePool {
-	const links = new Set<PooledConnection>();
+	const connections = new Set<PooledConnection>();
 	const queues = new Map<number, FairQueue<Waiter>>();
 	let {limit} = options;
 	let opening = 0;
 	let waiting = 0;
 	let isClosed = false;
 
-	const drop = (link: PooledConnection) => {
-		links.delete(link);
-		link.connection.close();
+	const closeConnection = (pooled: PooledConnection) => {
+		connections.delete(pooled);
+		pooled.connection.close();
 	};
 
+	/** Lists the idle connections, the one that has been idle for longest first. */
 	const listIdle = () => {
-		for (const link of links) {
-			if (!link.isBusy && link.connection.isClosed()) {
-				links.delete(link);
+		for (const pooled of connections) {
+			if (!pooled.isBusy && pooled.connection.isClosed()) {
+				connections.delete(pooled);
 			}
 		}
 
-		return [...links].filter(({isBusy}) => !isBusy).toSorted((a, b) => a.idleSince - b.idleSince);
+		return [...connections].filter(({isBusy}) => !isBusy).toSorted((a, b) => a.idleSince - b.idleSince);
 	};
 
-	const makePlace = (): boolean => {
-		if (links.size + opening < limit) {
+	/** Closes an idle connection if the limit is reached; returns whether another may be opened. */
+	const makeRoom = (): boolean => {
+		if (connections.size + opening < limit) {
 			return true;
 		}
 
 		const [oldest] = listIdle();
 		if (oldest !== undefined) {
-			drop(oldest);
+			closeConnection(oldest);
 		}
 
-		return links.size + opening < limit;
+		return connections.size + opening < limit;
 	};
 
 	const open = async (workspace: string): Promise<AcquireOutcome> => {
@@ -74,26 +78,26 @@
 			return {kind: outcome.kind === 'refused' && outcome.code !== 'moved' ? 'busy' : 'unreachable'};
 		}
 
-		const link: PooledConnection = {
+		const pooled: PooledConnection = {
 			connection: outcome.connection, workspace, values: new Map(), prepared: new Map(), isBusy: true, idleSince: 0,
 		};
-		links.add(link);
-		return {kind: 'acquired', connection: link, openMs: options.now() - startedAt};
+		connections.add(pooled);
+		return {kind: 'acquired', connection: pooled, openMs: options.now() - startedAt};
 	};
 
 	const take = (workspace: string): PooledConnection | undefined => {
-		const link = listIdle().findLast(idle => idle.workspace === workspace);
-		if (link !== undefined) {
-			link.isBusy = true;
+		const pooled = listIdle().findLast(idle => idle.workspace === workspace);
+		if (pooled !== undefined) {
+			pooled.isBusy = true;
 		}
 
-		return link;
+		return pooled;
 	};
 
-	/** Gives a free place to the waiter whose turn it is. */
+	/** Serves waiters, next first, while the pool has an idle connection or room for a new one. */
 	const serveNext = () => {
 		while (waiting > 0 && ( // eslint-disable-line no-unmodified-loop-condition -- `takeWaiter` lowers it
-			links.size + opening < limit || listIdle().length > 0)) {
+			connections.size + opening < limit || listIdle().length > 0)) {
 			const waiter = takeWaiter();
 			if (waiter === undefined) {
 				return;
@@ -104,16 +108,17 @@
 	};
 
 	const serve = async (waiter: Waiter) => {
-		const link = take(waiter.workspace);
+		const pooled = take(waiter.workspace);
 		waiter.isDone = true;
-		if (link === undefined) {
-			makePlace();
+		if (pooled === undefined) {
+			makeRoom();
 			waiter.resolve(await open(waiter.workspace));
 		} else {
-			waiter.resolve({kind: 'acquired', connection: link, openMs: 0});
+			waiter.resolve({kind: 'acquired', connection: pooled, openMs: 0});
 		}
 	};
 
+	/** Removes the next waiter that has not timed out from its queue. */
 	const takeWaiter = (): Waiter | undefined => {
 		for (const priority of [...queues.keys()].toSorted((a, b) => a - b)) {
 			const {queue, item} = takeItem(queues.get(priority) ?? createFairQueue<Waiter>(), () => 1);
@@ -134,6 +139,7 @@
 		return undefined;
 	};
 
+	/** Waits for a connection; resolves to `busy` after `timeout` milliseconds. */
 	const wait = async (workspace: string, priority: number, timeout: number) => new Promise<AcquireOutcome>(resolve => {
 		const timer = setTimeout(() => {
 			if (!waiter.isDone) {
@@ -162,39 +168,39 @@
 				return {kind: 'acquired', connection: idle, openMs: 0};
 			}
 
-			if (waiting === 0 && makePlace()) {
+			if (waiting === 0 && makeRoom()) {
 				return open(workspace);
 			}
 
 			return timeout > 0 ? wait(workspace, priority, timeout) : {kind: 'busy'};
 		},
-		release(link, isClean) {
-			link.isBusy = false;
-			link.idleSince = options.now();
-			if (!isClean || isClosed || links.size > limit || link.connection.isClosed()) {
-				drop(link);
+		release(pooled, isClean) {
+			pooled.isBusy = false;
+			pooled.idleSince = options.now();
+			if (!isClean || isClosed || connections.size > limit || pooled.connection.isClosed()) {
+				closeConnection(pooled);
 			}
 
 			serveNext();
 		},
 		takeIdle() {
-			const link = listIdle().at(-1);
-			if (link !== undefined) {
-				link.isBusy = true;
+			const pooled = listIdle().at(-1);
+			if (pooled !== undefined) {
+				pooled.isBusy = true;
 			}
 
-			return link;
+			return pooled;
 		},
 		readLoad() {
 			const idle = listIdle().length;
 			return {
-				busy: links.size + opening - idle, idle, waiting, limit,
+				busy: connections.size + opening - idle, idle, waiting, limit,
 			};
 		},
 		closeIdle(before) {
-			for (const link of listIdle()) {
-				if (link.idleSince < before) {
-					drop(link);
+			for (const pooled of listIdle()) {
+				if (pooled.idleSince < before) {
+					closeConnection(pooled);
 				}
 			}
 		},
@@ -203,8 +209,8 @@
 		},
 		close() {
 			isClosed = true;
-			for (const link of listIdle()) {
-				drop(link);
+			for (const pooled of listIdle()) {
+				closeConnection(pooled);
 			}
 		},
 	};
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -14,28 +14,28 @@
 type Options = {
 	readonly openConnection: OpenConnection;
 	readonly gateways: Gateways;
-	/** Connections at most. */
+	/** Maximum number of this host's connections to the instance. */
 	readonly limit: number;
-	/** Present steady milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
-/** Milliseconds within which an instance must take a connection. */
-const connectTimeout = 700;
+/** Time within which an instance must accept a connection. */
+const connectTimeoutMs = 700;
 
-/** Milliseconds that a statement is taken to need before any was seen. */
-const presumedLatency = 30;
+/** Statement latency that is assumed before any was measured. */
+const initialLatencyMs = 30;
 
-/** Creates what a host keeps of an instance: its connections and what was seen of it. */
+/** Creates the runtime of an instance: its connection pool, its observed health and the means to run jobs on it. */
 export function createInstanceRuntime(first: ListedInstance, {
-	openConnection: openLink, gateways, limit, now,
+	openConnection, gateways, limit, now,
 }: Options): InstanceRuntime {
 	let listed = first;
 	let health: InstanceHealth = {
-		latency: presumedLatency, heardAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
+		latency: initialLatencyMs, heardAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
 	};
 
-	const note = (seen: Parameters<typeof applyObservation>[1]['seen']) => {
+	const recordObservation = (seen: Parameters<typeof applyObservation>[1]['seen']) => {
 		health = applyObservation(health, {seen, now: now()});
 	};
 
@@ -43,27 +43,28 @@
 		limit,
 		now,
 		async open(workspace) {
-			note({kind: 'sent'});
-			const outcome = await openLink(listed, {workspace, timeout: connectTimeout});
+			recordObservation({kind: 'sent'});
+			const outcome = await openConnection(listed, {workspace, timeout: connectTimeoutMs});
 			if (outcome.kind === 'absent' || outcome.kind === 'silent') {
-				note({kind: 'failed'});
+				recordObservation({kind: 'failed'});
 			} else {
-				note({kind: 'answered', latency: undefined, position: undefined});
+				recordObservation({kind: 'answered', latency: undefined, position: undefined});
 			}
 
 			return outcome;
 		},
 	});
 
-	const send = async (link: PooledConnection, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> => {
+	const send = async (pooled: PooledConnection, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> => {
 		const sentAt = now();
-		note({kind: 'sent'});
-		const answer = await waitForAnswer(link, request, timeout);
+		recordObservation({kind: 'sent'});
+		const answer = await waitForAnswer(pooled, request, timeout);
 		if (answer.kind === 'lost') {
-			note({kind: 'failed'});
+			recordObservation({kind: 'failed'});
 		} else {
+			// Only requests that use an execution slot say how fast the instance runs statements.
 			const takesSlot = request.kind === 'forward' || request.kind === 'execute';
-			note({kind: 'answered', latency: takesSlot ? now() - sentAt : undefined, position: answer.position});
+			recordObservation({kind: 'answered', latency: takesSlot ? now() - sentAt : undefined, position: answer.position});
 		}
 
 		return answer;
@@ -76,13 +77,13 @@
 	return {
 		listed: () => listed,
 		run: createRoutedRunner({
-			listed: () => listed, local: runLocally, gateways, note, now,
+			listed: () => listed, local: runLocally, gateways, recordObservation, now,
 		}),
 		runLocally,
 		checkGateway(workspace) {
 			const [gateway = gateways.self] = gateways.list(listed, workspace);
 			if (gateway !== gateways.self && !gateways.isAvoided(gateway, listed)) {
-				void gateways.isAnswering(gateway, {isRepeatable: false});
+				void gateways.isAnswering(gateway, {isRetryable: false});
 			}
 		},
 		update(newer) {
@@ -92,20 +93,20 @@
 		pool,
 		send,
 		recordLag(lacks) {
-			note({kind: 'lagging', lacks});
+			recordObservation({kind: 'lagging', lacks});
 		},
 	};
 }
 
-/** Waits for the answer to a request; a connection that gives none in time is closed. */
-async function waitForAnswer({connection: link}: PooledConnection, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> {
+/** Sends a request and waits for the answer; closes the connection when none comes within `timeout` milliseconds. */
+async function waitForAnswer({connection}: PooledConnection, request: InstanceRequest, timeout: number): Promise<InstanceAnswer> {
 	return new Promise(resolve => {
 		const timer = setTimeout(() => {
-			link.close();
+			connection.close();
 			resolve({kind: 'lost', reason: `No answer came within ${Math.round(timeout)} ms.`});
 		}, timeout);
 		const receive = async () => {
-			const answer = await link.send(request);
+			const answer = await connection.send(request);
 			clearTimeout(timer);
 			resolve(answer);
 		};
--- a/packages/sessions/create-job-timer.ts
+++ b/packages/sessions/create-job-timer.ts
@@ -1,43 +1,43 @@
 import type {JobSpans} from './job-spans.ts';
 
-/** Measures the parts of a job while it runs. */
+/** Measures the phases of a job while it runs. */
 type JobTimer = {
-	/** Says that a connection was had, and how many milliseconds of the wait went into opening it. */
-	readonly noteAcquired: (openSpan: number) => void;
-	/** Says that the connection has the session's values, and the work goes out. */
-	readonly noteSent: () => void;
-	/** The parts, as the answer has come. */
+	/** Records that a connection was acquired, and how many milliseconds were spent on opening it. */
+	readonly recordAcquired: (openMs: number) => void;
+	/** Records that the session's values are set on the connection, and that the work is being sent. */
+	readonly recordSent: () => void;
+	/** Returns the phases once the answer has come; `way` is 0, as only the sending host can measure it. */
 	readonly finish: () => JobSpans;
 };
 
 /**
- * Creates the clock of a job that begins.
+ * Creates the timer of a job that starts now.
  *
- * @param now Present steady milliseconds.
+ * @param now Returns the monotonic time in milliseconds.
  */
 export function createJobTimer(now: () => number): JobTimer {
 	const startedAt = now();
 	let acquiredAt = startedAt;
-	let openSpan = 0;
+	let openMs = 0;
 	let sentAt: number | undefined;
 
 	return {
-		noteAcquired(span) {
+		recordAcquired(spentMs) {
 			acquiredAt = now();
-			openSpan = span;
+			openMs = spentMs;
 		},
-		noteSent() {
+		recordSent() {
 			sentAt = now();
 		},
 		finish() {
 			const answeredAt = now();
-			const wentOutAt = sentAt ?? answeredAt;
+			const workSentAt = sentAt ?? answeredAt;
 			return {
 				way: 0,
-				queue: Math.max(0, acquiredAt - startedAt - openSpan),
-				open: openSpan,
-				setup: wentOutAt - acquiredAt,
-				instance: answeredAt - wentOutAt,
+				queue: Math.max(0, acquiredAt - startedAt - openMs),
+				open: openMs,
+				setup: workSentAt - acquiredAt,
+				instance: answeredAt - workSentAt,
 			};
 		},
 	};
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -12,52 +12,56 @@
 type Options = {
 	readonly pool: InstancePool;
 	readonly send: InstanceRuntime['send'];
-	/** Smoothed milliseconds that the instance needs for a statement. */
+	/** Returns the smoothed statement latency of the instance in milliseconds. */
 	readonly latency: () => number;
-	/** Present steady milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
 type JobOf<Kind extends Job['kind']> = Extract<Job, {readonly kind: Kind}>;
 
-type JobClock = ReturnType<typeof createJobTimer>;
+type JobTimer = ReturnType<typeof createJobTimer>;
 
 type OpenTransaction = {
 	readonly pooled: PooledConnection;
+	/** Milliseconds for which the transaction may be idle. */
 	readonly idleLimit: number;
 	idleTimer?: NodeJS.Timeout;
 };
 
-/** Milliseconds within which an instance must answer a read before it is tried elsewhere; a multiple of what is usual there. */
-const readPatience = {least: 500, times: 10};
+/** Time within which an instance must answer a read before the read is tried elsewhere: a multiple of its usual latency. */
+const readTimeout = {minMs: 500, latencyFactor: 10};
 
-/** Milliseconds within which an instance must answer the beginning of a transaction. */
-const beginTimeout = 600;
+/** Time within which an instance must answer each request that sets up and begins a transaction. */
+const beginTimeoutMs = 600;
 
-/** Milliseconds within which an instance must answer a rollback before the connection is closed instead. */
-const rollbackTimeout = 500;
+/** Time within which an instance must answer a rollback; otherwise the connection is closed, which ends the transaction. */
+const rollbackTimeoutMs = 500;
 
-/** Milliseconds for which the question for a position waits for a connection. */
-const positionPatience = 300;
+/** Time for which a position query waits for a connection. */
+const positionAcquireTimeoutMs = 300;
 
-/** Milliseconds within which an instance must tell its position. */
-const positionTimeout = 600;
+/** Time within which an instance must answer a position query. */
+const positionTimeoutMs = 600;
 
-/** Milliseconds beyond its idle limit after which a transaction is rolled back whose session says nothing any more. */
-const abandonedMargin = 1500;
+/** Time beyond its idle limit after which a transaction is rolled back because its session sends nothing any more. */
+const abandonedMarginMs = 1500;
 
-/** Numbers of transactions differ between processes, so that one that was restarted takes none for its own. */
-const firstNumberLimit = 2 ** 40;
+/**
+ * Upper bound of the random first transaction number. Numbers differ between processes, so that a restarted process does
+ * not take a transaction of its predecessor for one of its own.
+ */
+const firstTransactionNumberLimit = 2 ** 40;
 
-/** Creates what runs jobs on this host's own connections to an instance. */
+/** Creates the function that runs jobs on this host's own connections to an instance. */
 export function createLocalRunner({pool, send, latency, now}: Options): JobRunner {
 	const transactions = new Map<number, OpenTransaction>();
-	let lastNumber = Math.floor(Math.random() * firstNumberLimit);
+	let lastTransactionNumber = Math.floor(Math.random() * firstTransactionNumberLimit);
 
-	const acquire = async ({workspace, priority, timeout}: Pick<JobOf<'single' | 'begin'>, 'workspace' | 'priority' | 'timeout'>, clock: JobClock) => {
+	const acquire = async ({workspace, priority, timeout}: Pick<JobOf<'single' | 'begin'>, 'workspace' | 'priority' | 'timeout'>, timer: JobTimer) => {
 		const acquired = await pool.acquire({workspace, priority, timeout});
 		if (acquired.kind === 'acquired') {
-			clock.noteAcquired(acquired.openMs);
+			timer.recordAcquired(acquired.openMs);
 			return acquired.connection;
 		}
 
@@ -68,14 +72,14 @@
 
 	const runSingle = async (job: JobOf<'single'>, maySend: () => boolean): Promise<JobAnswer> => {
 		const deadline = now() + job.timeout;
-		const clock = createJobTimer(now);
-		const pooled = await acquire(job, clock);
+		const timer = createJobTimer(now);
+		const pooled = await acquire(job, timer);
 		if ('kind' in pooled) {
 			return pooled;
 		}
 
-		const left = Math.max(1, deadline - now());
-		const patience = Math.max(readPatience.least, readPatience.times * latency());
+		const remaining = Math.max(1, deadline - now());
+		const readTimeoutMs = Math.max(readTimeout.minMs, readTimeout.latencyFactor * latency());
 		const {setup, work, after} = job;
 		const answer = await runWork(pooled, {
 			send,
@@ -83,57 +87,61 @@
 			work,
 			after,
 			isInTransaction: false,
-			timeout: work.access === 'read' ? Math.min(patience, left) : left,
+			timeout: work.access === 'read' ? Math.min(readTimeoutMs, remaining) : remaining,
 			maySend() {
-				clock.noteSent();
+				timer.recordSent();
 				return maySend() && now() < deadline;
 			},
 		});
 		pool.release(pooled, isClean(answer, pooled));
-		return addSpans(answer, clock);
+		return addSpans(answer, timer);
 	};
 
 	const begin = async (job: JobOf<'begin'>, maySend: () => boolean): Promise<JobAnswer> => {
 		const deadline = now() + job.timeout;
-		const clock = createJobTimer(now);
-		const pooled = await acquire(job, clock);
+		const timer = createJobTimer(now);
+		const pooled = await acquire(job, timer);
 		if ('kind' in pooled) {
 			return pooled;
 		}
 
 		const {setup, isReadOnly, after, idleLimit} = job;
 		const isReady = await applySetup(pooled, {
-			setup, prepared: undefined, isInTransaction: false, send: async request => send(pooled, request, beginTimeout),
+			setup, prepared: undefined, isInTransaction: false, send: async request => send(pooled, request, beginTimeoutMs),
 		});
 		if (!isReady || !maySend() || now() >= deadline) {
 			pool.release(pooled, isReady);
 			return isReady ? notSent : {kind: 'notSent', reason: 'the connection did not take the session\'s values'};
 		}
 
-		clock.noteSent();
-		const answer = await send(pooled, {kind: 'begin', isReadOnly, after}, Math.max(1, Math.min(beginTimeout, deadline - now())));
+		timer.recordSent();
+		const answer = await send(pooled, {kind: 'begin', isReadOnly, after}, Math.max(1, Math.min(beginTimeoutMs, deadline - now())));
 		if (answer.kind !== 'answered' || answer.outcome.kind !== 'done' || answer.state !== 'open') {
 			pool.release(pooled, isClean(answer, pooled));
 			return answer;
 		}
 
-		lastNumber++;
-		const transaction = lastNumber;
+		lastTransactionNumber++;
+		const transaction = lastTransactionNumber;
 		transactions.set(transaction, {pooled, idleLimit});
 		startIdleTimer(transaction);
-		return {...answer, transaction, spans: clock.finish()};
+		return {...answer, transaction, spans: timer.finish()};
 	};
 
+	/** Rolls the transaction back unless it is used again before its idle limit and the margin are over. */
 	const startIdleTimer = (transaction: number) => {
 		const open = transactions.get(transaction);
 		if (open !== undefined) {
 			open.idleTimer = setTimeout(() => {
 				void rollBack(transaction);
-			}, open.idleLimit + abandonedMargin);
+			}, open.idleLimit + abandonedMarginMs);
 		}
 	};
 
-	/** Takes a transaction whose connection is then the caller's to give back; undefined when it is over. */
+	/**
+	 * Ends the bookkeeping of a transaction and returns its connection, which the caller must release. Returns undefined
+	 * when the transaction is no longer open.
+	 */
 	const takeTransaction = (transaction: number): PooledConnection | undefined => {
 		const open = transactions.get(transaction);
 		clearTimeout(open?.idleTimer);
@@ -148,7 +156,7 @@
 		}
 
 		clearTimeout(open.idleTimer);
-		const clock = createJobTimer(now);
+		const timer = createJobTimer(now);
 		const answer = await runWork(open.pooled, {
 			send,
 			setup,
@@ -157,12 +165,12 @@
 			isInTransaction: true,
 			timeout,
 			maySend() {
-				clock.noteSent();
+				timer.recordSent();
 				return maySend() && transactions.has(transaction);
 			},
 		});
 		startIdleTimer(transaction);
-		return addSpans(answer, clock);
+		return addSpans(answer, timer);
 	};
 
 	const commit = async ({transaction, id, text, timeout}: JobOf<'commit'>, maySend: () => boolean): Promise<JobAnswer> => {
@@ -176,11 +184,11 @@
 			return {kind: 'notSent', reason: 'the transaction is not open any more'};
 		}
 
-		const clock = createJobTimer(now);
-		clock.noteSent();
+		const timer = createJobTimer(now);
+		timer.recordSent();
 		const answer = await send(pooled, {kind: 'forward', id, text}, timeout);
 		pool.release(pooled, isClean(answer, pooled));
-		return addSpans(answer, clock);
+		return addSpans(answer, timer);
 	};
 
 	const rollBack = async (transaction: number): Promise<JobAnswer> => {
@@ -189,18 +197,19 @@
 			return {kind: 'notSent', reason: 'the transaction is not open any more'};
 		}
 
-		const answer = await send(pooled, {kind: 'rollback'}, rollbackTimeout);
+		const answer = await send(pooled, {kind: 'rollback'}, rollbackTimeoutMs);
 		pool.release(pooled, isClean(answer, pooled));
 		return answer;
 	};
 
-	const askPosition = async (workspace: string): Promise<JobAnswer> => {
-		const pooled = pool.takeIdle() ?? await acquire({workspace, priority: 0, timeout: positionPatience}, createJobTimer(now));
+	/** Queries the position with a reset, which any idle connection can run and which uses no execution slot. */
+	const queryPosition = async (workspace: string): Promise<JobAnswer> => {
+		const pooled = pool.takeIdle() ?? await acquire({workspace, priority: 0, timeout: positionAcquireTimeoutMs}, createJobTimer(now));
 		if ('kind' in pooled) {
 			return pooled;
 		}
 
-		const answer = await send(pooled, {kind: 'reset'}, positionTimeout);
+		const answer = await send(pooled, {kind: 'reset'}, positionTimeoutMs);
 		pooled.values.clear();
 		pooled.prepared.clear();
 		pool.release(pooled, isClean(answer, pooled) && answer.kind === 'answered' && answer.outcome.kind === 'done');
@@ -230,22 +239,23 @@
 			}
 
 			case 'position': {
-				return askPosition(job.workspace);
+				return queryPosition(job.workspace);
 			}
 		}
 	};
 }
 
-function addSpans(answer: JobAnswer, clock: JobClock): JobAnswer {
-	return answer.kind === 'answered' ? {...answer, spans: clock.finish()} : answer;
+function addSpans(answer: JobAnswer, timer: JobTimer): JobAnswer {
+	return answer.kind === 'answered' ? {...answer, spans: timer.finish()} : answer;
 }
 
-/** Whether a connection may be used by another session after an answer. */
-function isClean(answer: JobAnswer, {connection: link}: PooledConnection): boolean {
+/** Whether another session may use the connection after an answer. */
+function isClean(answer: JobAnswer, {connection}: PooledConnection): boolean {
 	if (answer.kind === 'notSent') {
-		return !link.isClosed();
+		return !connection.isClosed();
 	}
 
-	const hasLostNames = answer.kind === 'answered' && answer.outcome.kind === 'failed' && answer.outcome.code === 'unknownStatement';
-	return answer.kind === 'answered' && answer.state === 'idle' && !hasLostNames;
+	// The instance does not know a statement that this host believes to be prepared on the connection.
+	const hasLostStatements = answer.kind === 'answered' && answer.outcome.kind === 'failed' && answer.outcome.code === 'unknownStatement';
+	return answer.kind === 'answered' && answer.state === 'idle' && !hasLostStatements;
 }
--- a/packages/sessions/create-routed-runner.test.ts
+++ b/packages/sessions/create-routed-runner.test.ts
@@ -29,69 +29,69 @@
 
 type Case = {
 	readonly name: string;
-	/** What each gateway says, in the order in which they are tried; `dark` does not answer whether it is there. */
-	readonly says: Readonly<Record<string, JobAnswer | 'notServed' | 'dark' | 'avoided' | undefined>>;
-	/** A write unless it is said. */
+	/** Answer of each gateway, in the order in which they are tried; an `unreachable` gateway does not answer the ping. */
+	readonly answers: Readonly<Record<string, JobAnswer | 'notServed' | 'unreachable' | 'avoided' | undefined>>;
+	/** `read` for a read; otherwise the job is a write. */
 	readonly work?: 'read';
 	readonly maySend?: boolean;
-	readonly expected: {readonly kind: JobAnswer['kind']; readonly asked: readonly string[]; readonly isLocal?: boolean};
+	readonly expected: {readonly kind: JobAnswer['kind']; readonly requested: readonly string[]; readonly isLocal?: boolean};
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'the first that can be reached runs the job', says: {b1: 'dark', b2: done, b3: done}, expected: {kind: 'answered', asked: ['b2']},
+		name: 'the first reachable gateway runs the job', answers: {b1: 'unreachable', b2: done, b3: done}, expected: {kind: 'answered', requested: ['b2']},
 	},
 	{
-		name: 'a read does not wait for the answer whether a gateway is there, and goes elsewhere when it is not',
+		name: 'a read is sent without waiting for the ping, and goes to the next gateway when the ping fails',
 		work: 'read',
-		says: {b1: 'dark', b2: done},
-		expected: {kind: 'answered', asked: ['b1', 'b2']},
+		answers: {b1: 'unreachable', b2: done},
+		expected: {kind: 'answered', requested: ['b1', 'b2']},
 	},
 	{
-		name: 'one that gave no answer a moment ago is not tried', work: 'read', says: {b1: 'avoided', b2: done}, expected: {kind: 'answered', asked: ['b2']},
+		name: 'a gateway in backoff is not tried', work: 'read', answers: {b1: 'avoided', b2: done}, expected: {kind: 'answered', requested: ['b2']},
 	},
 	{
-		name: 'one that takes no work is passed over', says: {b1: 'notServed', b2: done}, expected: {kind: 'answered', asked: ['b1', 'b2']},
+		name: 'a gateway that accepts no work is skipped', answers: {b1: 'notServed', b2: done}, expected: {kind: 'answered', requested: ['b1', 'b2']},
 	},
 	{
-		name: 'one that is cut off from the instance is passed over',
-		says: {b1: {kind: 'notSent', reason: '', isUnreachable: true}, b2: done},
-		expected: {kind: 'answered', asked: ['b1', 'b2']},
+		name: 'a gateway that cannot reach the instance is skipped',
+		answers: {b1: {kind: 'notSent', reason: '', isUnreachable: true}, b2: done},
+		expected: {kind: 'answered', requested: ['b1', 'b2']},
 	},
 	{
-		name: 'one that was given the job and is silent may have run it', says: {b1: undefined, b2: done}, expected: {kind: 'lost', asked: ['b1']},
+		name: 'the answer is lost when a gateway received a write and does not answer', answers: {b1: undefined, b2: done}, expected: {kind: 'lost', requested: ['b1']},
 	},
 	{
-		name: 'a refusal of the gateway is passed on', says: {b1: {kind: 'notSent', reason: 'no connection'}, b2: done}, expected: {kind: 'notSent', asked: ['b1']},
+		name: 'a refusal of the gateway is returned', answers: {b1: {kind: 'notSent', reason: 'no connection'}, b2: done}, expected: {kind: 'notSent', requested: ['b1']},
 	},
 	{
-		name: 'this host itself is used when its turn comes', says: {b1: 'dark', self: undefined}, expected: {kind: 'answered', asked: [], isLocal: true},
+		name: 'this host runs the job itself when it is next in the list', answers: {b1: 'unreachable', self: undefined}, expected: {kind: 'answered', requested: [], isLocal: true},
 	},
 	{
-		name: 'nothing is sent when no gateway can be reached', says: {b1: 'dark', b2: 'dark'}, expected: {kind: 'notSent', asked: []},
+		name: 'nothing is sent when no gateway is reachable', answers: {b1: 'unreachable', b2: 'unreachable'}, expected: {kind: 'notSent', requested: []},
 	},
 	{
-		name: 'nothing is sent once the right to send is lost', says: {b1: done}, maySend: false, expected: {kind: 'notSent', asked: []},
+		name: 'nothing is sent when the job may no longer be sent', answers: {b1: done}, maySend: false, expected: {kind: 'notSent', requested: []},
 	},
 ];
 
 describe('createRoutedRunner', () => {
 	for (const {
-		name, says, work, maySend = true, expected,
+		name, answers, work, maySend = true, expected,
 	} of cases) {
 		it(name, async () => {
-			const asked: string[] = [];
+			const requested: string[] = [];
 			let isLocal = false;
 			const gateways: Gateways = {
 				self: 'self',
-				list: () => Object.keys(says),
-				isAvoided: host => says[host] === 'avoided',
-				isAnswering: async host => says[host] !== 'dark',
+				list: () => Object.keys(answers),
+				isAvoided: host => answers[host] === 'avoided',
+				isAnswering: async host => answers[host] !== 'unreachable',
 				async runJob(host) {
-					asked.push(host);
-					const answer = says[host];
+					requested.push(host);
+					const answer = answers[host];
 					return new Promise(resolve => {
-						if (answer !== 'dark' && answer !== 'avoided') {
+						if (answer !== 'unreachable' && answer !== 'avoided') {
 							resolve(answer);
 						}
 					});
@@ -106,11 +106,11 @@
 					return done;
 				},
 				gateways,
-				note: () => undefined,
+				recordObservation: () => undefined,
 				now: () => 0,
 			});
 			const {answer} = await run(work === 'read' ? read : job, () => maySend);
-			expect({kind: answer.kind, asked, isLocal}).to.deep.equal({isLocal: false, ...expected});
+			expect({kind: answer.kind, requested, isLocal}).to.deep.equal({isLocal: false, ...expected});
 		});
 	}
 });
--- a/packages/sessions/create-routed-runner.ts
+++ b/packages/sessions/create-routed-runner.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- one host is tried after the other */
+/* eslint-disable no-await-in-loop -- hosts are tried one after the other */
 import type {applyObservation} from './apply-observation.ts';
 import type {Gateways} from './gateways.ts';
 import {isRepeatable} from './is-repeatable.ts';
@@ -12,21 +12,21 @@
 
 type Options = {
 	readonly listed: () => ListedInstance;
-	/** Runs jobs on this host's own connections. */
+	/** Runs jobs on this host's own connections to the instance. */
 	readonly local: JobRunner;
 	readonly gateways: Gateways;
-	readonly note: (seen: Parameters<typeof applyObservation>[1]['seen']) => void;
-	/** Present steady milliseconds. */
+	readonly recordObservation: (seen: Parameters<typeof applyObservation>[1]['seen']) => void;
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
 /**
- * Creates what finds a way for jobs to an instance: this host's own connections, or those of a gateway.
+ * Creates the function that routes jobs to an instance, through this host's own connections or through a gateway.
  *
- * A gateway that takes no work, or cannot be reached, is passed over. One that was given a job which must not run again,
- * and does not answer, may have run it, so the answer is then lost.
+ * A gateway that accepts no work, or is unreachable, is skipped. A gateway that received a job which must not be retried,
+ * and does not answer, may have run the job: the answer then counts as lost.
  */
-export function createRoutedRunner({listed, local, gateways, note, now}: Options): RunJob {
+export function createRoutedRunner({listed, local, gateways, recordObservation, now}: Options): RunJob {
 	const createGatewayRunner = (host: string): ((job: Job) => Promise<JobAnswer | 'notServed'>) => async job => {
 		const sentAt = now();
 		const answer = await gateways.runJob(host, listed(), job);
@@ -36,12 +36,12 @@
 
 		if (answer !== 'notServed' && answer.kind === 'answered') {
 			const elapsed = now() - sentAt;
-			note({kind: 'answered', latency: job.kind === 'single' ? elapsed : undefined, position: answer.position});
-			return {...answer, spans: answer.spans && {...answer.spans, way: elapsed - countSpans(answer.spans)}};
+			recordObservation({kind: 'answered', latency: job.kind === 'single' ? elapsed : undefined, position: answer.position});
+			return {...answer, spans: answer.spans && {...answer.spans, way: elapsed - sumSpans(answer.spans)}};
 		}
 
 		if (answer !== 'notServed' && answer.kind === 'lost') {
-			note({kind: 'failed'});
+			recordObservation({kind: 'failed'});
 		}
 
 		return answer;
@@ -60,10 +60,10 @@
 				continue;
 			}
 
-			// Work that may run again elsewhere goes out with the question whether the host is there; a write after the answer.
-			const mayRepeat = isRepeatable(job);
-			const answering = gateways.isAnswering(host, {isRepeatable: mayRepeat});
-			if (!mayRepeat && !await answering) {
+			// A retryable job is sent while the host is pinged. Any other job waits until the ping is answered.
+			const isJobRetryable = isRepeatable(job);
+			const answering = gateways.isAnswering(host, {isRetryable: isJobRetryable});
+			if (!isJobRetryable && !await answering) {
 				continue;
 			}
 
@@ -72,34 +72,34 @@
 			}
 
 			const run = createGatewayRunner(host);
-			const answer = await Promise.race([run(job), waitUntilAbsent(answering)]);
-			const isPassedOver = answer === 'notServed' || (answer.kind === 'notSent' && answer.isUnreachable === true);
-			if (!isPassedOver) {
+			const answer = await Promise.race([run(job), waitUntilUnreachable(answering)]);
+			const isSkipped = answer === 'notServed' || (answer.kind === 'notSent' && answer.isUnreachable === true);
+			if (!isSkipped) {
 				return {answer, runner: createPinnedRunner(host, run)};
 			}
 		}
 
-		note({kind: 'failed'});
+		recordObservation({kind: 'failed'});
 		return {answer: {kind: 'notSent', reason: 'no gateway can be reached'}, runner: local};
 	};
 }
 
-/** Waits until a host turns out not to answer; for ever if it does. */
-async function waitUntilAbsent(answering: Promise<boolean>): Promise<'notServed'> {
-	const isThere = await answering;
+/** Resolves once a host turns out not to answer; never settles if the host answers. */
+async function waitUntilUnreachable(answering: Promise<boolean>): Promise<'notServed'> {
+	const hasAnswered = await answering;
 	return new Promise(resolve => {
-		if (!isThere) {
+		if (!hasAnswered) {
 			resolve('notServed');
 		}
 	});
 }
 
-/** Milliseconds that a job took at its gateway. */
-function countSpans({queue, open, setup, instance}: JobSpans): number {
+/** Sums up the milliseconds that a job took at its gateway. */
+function sumSpans({queue, open, setup, instance}: JobSpans): number {
 	return queue + open + setup + instance;
 }
 
-/** Runs the jobs of a transaction where it has begun. */
+/** Creates the runner for further jobs of a transaction, which must run on the gateway where the transaction began. */
 function createPinnedRunner(host: string, run: (job: Job) => Promise<JobAnswer | 'notServed'>): JobRunner {
 	return async (job, maySend) => {
 		if (!maySend()) {
--- a/packages/sessions/find-gateway-count.test.ts
+++ b/packages/sessions/find-gateway-count.test.ts
@@ -5,7 +5,7 @@
 describe('findGatewayCount', () => {
 	const cases = [
 		{
-			name: 'a few hosts, few connections', hosts: 7, instances: 9, cap: 22, expected: {count: 3, limit: 5},
+			name: 'a few hosts and a low connection limit', hosts: 7, instances: 9, cap: 22, expected: {count: 3, limit: 5},
 		},
 		{
 			name: 'a few hosts', hosts: 9, instances: 9, cap: 34, expected: {count: 3, limit: 8},
@@ -17,10 +17,10 @@
 			name: 'hundreds of hosts', hosts: 195, instances: 42, cap: 180, expected: {count: 2, limit: 58},
 		},
 		{
-			name: 'the size in two years', hosts: 940, instances: 3000, cap: 180, expected: {count: 2, limit: 58},
+			name: 'the fleet size expected in two years', hosts: 940, instances: 3000, cap: 180, expected: {count: 2, limit: 58},
 		},
 		{
-			name: 'a fleet that knows of nobody yet', hosts: 0, instances: 0, cap: 34, expected: {count: 3, limit: 8},
+			name: 'a host that knows no other host yet', hosts: 0, instances: 0, cap: 34, expected: {count: 3, limit: 8},
 		},
 	];
 	for (const {name, hosts, instances, cap, expected} of cases) {
--- a/packages/sessions/find-gateway-count.ts
+++ b/packages/sessions/find-gateway-count.ts
@@ -1,23 +1,26 @@
 type Options = {
-	/** Hosts of the fleet. */
+	/** Number of hosts in the fleet. */
 	readonly hosts: number;
-	/** Instances of all groups. */
+	/** Number of instances in all groups. */
 	readonly instances: number;
 };
 
-/** Gateways of an instance: one that is lost takes a part of the workspaces with it, and more leave each too few connections. */
-const limits = {least: 2, most: 3};
+/**
+ * Gateways of an instance. With too few, the loss of one affects a large part of the workspaces; with too many, each has
+ * too small a share of the instance's connections.
+ */
+const gatewayLimits = {min: 2, max: 3};
 
-/** Pairs of a host and a gateway over the fleet, each of which takes a connection and has to hear of each other. */
-const pairsLimit = 6000;
+/** Pairs of a host and a gateway in the whole fleet; the two hosts of a pair hold a connection and ping each other. */
+const maxHostGatewayPairs = 6000;
 
 /**
- * Finds how many hosts connect to each instance, and run work for the others.
+ * Finds how many hosts are gateways of each instance, that is, connect to it and run jobs of the other hosts.
  *
- * In a large fleet each pair of hosts has little to say to each other; fewer gateways make fewer pairs, which then know
- * more often that the other is there.
+ * In a large fleet each pair of hosts exchanges few messages. Fewer gateways make fewer pairs with more traffic each, so
+ * that a host more often knows from a recent answer that a gateway is reachable.
  */
 export function findGatewayCount({hosts, instances}: Options): number {
-	const fitting = Math.floor(pairsLimit / Math.max(1, hosts * instances));
-	return Math.max(limits.least, Math.min(limits.most, fitting));
+	const fitting = Math.floor(maxHostGatewayPairs / Math.max(1, hosts * instances));
+	return Math.max(gatewayLimits.min, Math.min(gatewayLimits.max, fitting));
 }
--- a/packages/sessions/gateways.ts
+++ b/packages/sessions/gateways.ts
@@ -2,16 +2,19 @@
 import type {Job} from './job.ts';
 import type {ListedInstance} from './listed-instance.ts';
 
-/** The hosts through which this one reaches instances. */
+/** The gateways of instances, as this host uses them. */
 export type Gateways = {
-	/** Hosts through which work of a workspace may reach an instance, best first. */
+	/** Lists the hosts through which work of a workspace may reach an instance, best first; see `rankGateways`. */
 	readonly list: (instance: ListedInstance, workspace: string | undefined) => readonly string[];
 	/** Name of this host. */
 	readonly self: string;
-	/** Whether a host is not to be tried for an instance now, because it gave no answer or could not reach that. */
+	/** Whether a host is skipped for an instance at present, because it lately did not answer, did not serve a job or could not reach the instance. */
 	readonly isAvoided: (host: string, instance: ListedInstance) => boolean;
-	/** Whether a host answers; asks it if it has not been heard of lately, for longer where work may run again elsewhere. */
-	readonly isAnswering: (host: string, work: {readonly isRepeatable: boolean}) => Promise<boolean>;
-	/** Has a host run a job; undefined when no answer came. */
+	/**
+	 * Whether a host answers. Pings the host unless it answered recently; an older answer is enough for work that can be
+	 * retried elsewhere.
+	 */
+	readonly isAnswering: (host: string, work: {readonly isRetryable: boolean}) => Promise<boolean>;
+	/** Sends a job to a host; resolves to undefined when no answer came. */
 	readonly runJob: (host: string, instance: ListedInstance, job: Job) => Promise<JobAnswer | 'notServed' | undefined>;
 };
--- a/packages/sessions/instance-answer.ts
+++ b/packages/sessions/instance-answer.ts
@@ -8,8 +8,8 @@
 		readonly kind: 'answered';
 		readonly outcome: StatementOutcome;
 		readonly state: SessionState;
-		/** End of the instance's log. */
+		/** End of the instance's log; undefined when the answer does not state it. */
 		readonly position: LogPoint | undefined;
 	}
-	/** The connection ended before the whole answer came; the request may have run. */
+	/** No complete answer came before the connection closed or the request timed out; the request may have run. */
 	| {readonly kind: 'lost'; readonly reason: string};
--- a/packages/sessions/instance-pool.ts
+++ b/packages/sessions/instance-pool.ts
@@ -1,26 +1,27 @@
 import type {AcquireOutcome} from './acquire-outcome.ts';
 import type {PooledConnection} from './pooled-connection.ts';
 
-/** Who wants a connection, and for how long it may wait. */
-type Wish = {
+/** For whom a connection is acquired, and how long it may take. */
+type AcquireRequest = {
 	readonly workspace: string;
 	/** 0 is the most urgent. */
 	readonly priority: number;
-	/** Milliseconds. */
+	/** Milliseconds to wait for a connection when none is free; 0 to not wait. */
 	readonly timeout: number;
 };
 
-/** The connections of this host to one instance. */
+/** The pool of this host's connections to one instance. */
 export type InstancePool = {
-	readonly acquire: (wish: Wish) => Promise<AcquireOutcome>;
-	/** Gives a connection back; one that is not clean is closed. */
-	readonly release: (link: PooledConnection, isClean: boolean) => void;
-	/** Takes an idle connection without waiting; undefined when there is none. */
+	readonly acquire: (request: AcquireRequest) => Promise<AcquireOutcome>;
+	/** Returns a connection to the pool. One that is not clean, that is, that another session must not use, is closed. */
+	readonly release: (connection: PooledConnection, isClean: boolean) => void;
+	/** Takes an idle connection of any workspace without waiting; returns undefined if there is none. */
 	readonly takeIdle: () => PooledConnection | undefined;
+	/** Counts the connections and the waiting requests. */
 	readonly readLoad: () => {readonly busy: number; readonly idle: number; readonly waiting: number; readonly limit: number};
-	/** Closes connections that have been idle since before a moment, in steady milliseconds. */
+	/** Closes connections that have been idle since before a time in monotonic milliseconds. */
 	readonly closeIdle: (before: number) => void;
 	readonly setLimit: (limit: number) => void;
-	/** Closes idle connections now and others when they are given back. */
+	/** Closes idle connections now, and the others when they are released. */
 	readonly close: () => void;
 };
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -8,21 +8,22 @@
 import type {PooledConnection} from './pooled-connection.ts';
 import type {RunJob} from './run-job.ts';
 
-/** An instance as a host uses it. */
+/** An instance as this host uses it. */
 export type InstanceRuntime = {
+	/** Returns the instance as the platform last listed it. */
 	readonly listed: () => ListedInstance;
 	readonly update: (listed: ListedInstance) => void;
 	readonly health: () => InstanceHealth;
-	/** This host's own connections. */
+	/** This host's own connections to the instance. */
 	readonly pool: InstancePool;
-	/** Sends a request on an own connection and gives it up after `timeout` milliseconds, which closes the connection. */
-	readonly send: (link: PooledConnection, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
+	/** Sends a request on an own connection; closes the connection if no answer comes within `timeout` milliseconds. */
+	readonly send: (pooled: PooledConnection, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
 	/** Runs a job on an own connection or through a gateway. */
 	readonly run: RunJob;
-	/** Makes sure that the gateway of a workspace answers, before a write needs to know. */
+	/** Pings the gateway of a workspace unless it answered lately, so that a write that follows need not wait for the ping. */
 	readonly checkGateway: (workspace: string) => void;
 	/** Runs a job on an own connection. */
 	readonly runLocally: JobRunner;
-	/** Takes note that the instance said it lacks a position. */
+	/** Records that the instance answered that its log does not hold a position. */
 	readonly recordLag: (lacks: LogPoint) => void;
 };
--- a/packages/sessions/job-answer.ts
+++ b/packages/sessions/job-answer.ts
@@ -4,14 +4,15 @@
 /** The answer to a job. */
 export type JobAnswer =
 	| InstanceAnswer & {
-		/** Number of the transaction that has begun. */
+		/** Number of the transaction that the job began; only valid on the host that ran the job. */
 		readonly transaction?: number | undefined;
+		/** Durations of the job's phases. */
 		readonly spans?: JobSpans | undefined;
 	}
 	/** Nothing of the job was sent to the instance, and nothing will be. */
 	| {
 		readonly kind: 'notSent';
 		readonly reason: string;
-		/** Whether the instance cannot be reached from where the job was tried. */
+		/** Whether the host that tried to run the job cannot reach the instance. */
 		readonly isUnreachable?: boolean;
 	};
--- a/packages/sessions/job-spans.ts
+++ b/packages/sessions/job-spans.ts
@@ -1,13 +1,13 @@
-/** Where the time of a job went, in milliseconds. */
+/** Durations of the phases of a job, in milliseconds. */
 export type JobSpans = {
-	/** To the gateway and back, and waiting for the processors of both hosts. */
+	/** Round trip to the gateway, including the wait for CPU time on both hosts; 0 for a local job. */
 	readonly way: number;
-	/** Waiting for a connection to the instance. */
+	/** Wait for a pooled connection to the instance. */
 	readonly queue: number;
-	/** Opening a connection. */
+	/** Opening a connection; 0 if an idle one was reused. */
 	readonly open: number;
-	/** Bringing the connection to the session's values. */
+	/** Setting the session's values on the connection. */
 	readonly setup: number;
-	/** From sending the work to the instance until its answer. */
+	/** From sending the work to the instance until its answer arrived. */
 	readonly instance: number;
 };
--- a/packages/sessions/job.ts
+++ b/packages/sessions/job.ts
@@ -3,21 +3,21 @@
 import type {SessionValues} from './session-values.ts';
 import type {Work} from './work.ts';
 
-/** On whose behalf a job runs, and for how long. */
+/** On whose behalf a job runs, and within what time. */
 type JobBase = {
 	readonly workspace: string;
 	/** 0 is the most urgent. */
 	readonly priority: number;
 	readonly caller: Caller;
-	/** Milliseconds within which the job must be done. */
+	/** Milliseconds within which the job must finish. */
 	readonly timeout: number;
 };
 
 /**
- * Work of a session for an instance, with all that a host needs to run it on a connection of its own.
+ * Work of a session for an instance, with everything that a host needs to run it on one of its own connections.
  *
- * `after` is a position that the instance's log must hold, or the job does not run. `transaction` is the number that
- * the beginning of the transaction was answered with.
+ * An instance whose log does not hold the position `after` does not run the job. `transaction` is the number in the
+ * answer to the job that began the transaction.
  */
 export type Job =
 	| JobBase & {readonly kind: 'single'; readonly setup: SessionValues; readonly work: Work; readonly after: LogPoint | undefined}
@@ -26,11 +26,11 @@
 		readonly setup: SessionValues;
 		readonly isReadOnly: boolean;
 		readonly after: LogPoint | undefined;
-		/** Milliseconds for which the transaction may stand idle. */
+		/** Milliseconds for which the transaction may be idle. */
 		readonly idleLimit: number;
 	}
 	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionValues; readonly work: Work}
 	| JobBase & {readonly kind: 'commit'; readonly transaction: number; readonly id: string; readonly text: string}
 	| {readonly kind: 'rollback'; readonly transaction: number}
-	/** Asks for the end of the instance's log, without taking a slot. */
+	/** Queries the end of the instance's log, without using an execution slot. */
 	| {readonly kind: 'position'; readonly workspace: string};
--- a/packages/sessions/listed-instance.ts
+++ b/packages/sessions/listed-instance.ts
@@ -1,13 +1,14 @@
-/** An endpoint instance as the platform lists it. */
+/** An instance of an endpoint, as listed by the platform. */
 export type ListedInstance = {
 	readonly id: string;
 	readonly group: string;
 	readonly host: string;
 	readonly port: number;
 	readonly zone: string;
-	/** Statements that it runs at the same time. */
+	/** Statements that the instance runs concurrently. */
 	readonly slots: number;
+	/** Whether the platform drains the instance and is about to remove it. */
 	readonly isDeparting: boolean;
-	/** As the instance sees itself; a replaced primary may still call itself one. */
+	/** The role that the instance reports itself; a replaced primary may still report `primary`. */
 	readonly role: 'primary' | 'replica';
 };
--- a/packages/sessions/open-connection-outcome.ts
+++ b/packages/sessions/open-connection-outcome.ts
@@ -1,11 +1,11 @@
 import type {InstanceConnection} from './instance-connection.ts';
 
-/** Whether a connection could be opened. */
+/** The outcome of opening a connection to an instance. */
 export type OpenConnectionOutcome =
 	| {readonly kind: 'opened'; readonly connection: InstanceConnection}
-	/** The instance answered and does not take the connection. */
+	/** The instance answered and refused the connection. */
 	| {readonly kind: 'refused'; readonly code: 'moved' | 'tooManyConnections' | 'busy'}
-	/** Nothing listens there: its process is gone. */
+	/** The network refused the connection: no process listens at the address. */
 	| {readonly kind: 'absent'}
-	/** No answer in time. */
+	/** The instance did not answer in time, or the connection broke before it did. */
 	| {readonly kind: 'silent'};
--- a/packages/sessions/pooled-connection.ts
+++ b/packages/sessions/pooled-connection.ts
@@ -1,15 +1,15 @@
 import type {InstanceConnection} from './instance-connection.ts';
 
-/** A connection of a pool, and what it holds of the session that used it last. */
+/** A connection of a pool, with the session state that its last user left on it. */
 export type PooledConnection = {
 	readonly connection: InstanceConnection;
 	readonly workspace: string;
-	/** Values that were set on the connection, by name. */
+	/** Values of the session variables that are set on the connection, by name. */
 	readonly values: Map<string, string>;
-	/** Names of prepared statements on the connection, by access and shape. */
+	/** Names of the statements that are prepared on the connection, by access and shape (`access shape`). */
 	readonly prepared: Map<string, string>;
-	/** Whether a session uses it now. */
+	/** Whether the connection is taken from the pool. */
 	isBusy: boolean;
-	/** Steady milliseconds when it was last given back. */
+	/** When the connection was last released, in monotonic milliseconds. */
 	idleSince: number;
 };
--- a/packages/sessions/rank-gateways.test.ts
+++ b/packages/sessions/rank-gateways.test.ts
@@ -9,7 +9,7 @@
 } as const;
 
 describe('rankGateways', () => {
-	it('places work of a workspace on a host of the instance\'s zone, whichever host asks', () => {
+	it('assigns a workspace to the same host of the instance\'s zone from every zone', () => {
 		const first = ['a', 'b', 'c'].map(zone => rankGateways({
 			...shared, workspace: 'upper', zone, hosts,
 		})[0]);
@@ -17,7 +17,7 @@
 		expect(first[0]).to.match(/^b/v);
 	});
 
-	it('spreads workspaces over all gateways of an instance, and over no others', () => {
+	it('spreads workspaces over all gateways of an instance, and over no other hosts', () => {
 		const firsts = Array.from({length: 60}, (_, index) => rankGateways({
 			...shared, workspace: `workspace-${index}`, zone: 'b', hosts,
 		})[0]);
@@ -27,17 +27,17 @@
 		expect([...new Set(firsts)]).to.have.members(gateways);
 	});
 
-	it('moves only the workspaces of a gateway that is gone', () => {
+	it('keeps the gateway of a workspace among its first three hosts when another gateway leaves', () => {
 		fc.assert(fc.property(fc.string({minLength: 1, maxLength: 6}), workspace => {
-			const question = {...shared, workspace, zone: 'a'} as const;
-			const [first] = rankGateways({...question, hosts});
-			const other = rankGateways({...question, workspace: undefined, hosts}).find(name => name !== first);
-			const left = hosts.filter(({name}) => name !== other);
-			expect(rankGateways({...question, hosts: left}).slice(0, 3)).to.include(first);
+			const options = {...shared, workspace, zone: 'a'} as const;
+			const [first] = rankGateways({...options, hosts});
+			const other = rankGateways({...options, workspace: undefined, hosts}).find(name => name !== first);
+			const remaining = hosts.filter(({name}) => name !== other);
+			expect(rankGateways({...options, hosts: remaining}).slice(0, 3)).to.include(first);
 		}));
 	});
 
-	it('ends with a host of the asking zone, so that a lost zone is noticed outside it', () => {
+	it('ranks a host of the requesting zone last, so that the loss of a zone is detected outside it', () => {
 		expect(rankGateways({
 			...shared, workspace: 'upper', zone: 'c', hosts,
 		}).at(-1)).to.match(/^c/v);
@@ -49,13 +49,13 @@
 	const other = hosts.find(({name, zone}) => zone === 'b' && !gateways.includes(name))?.name ?? '';
 	const cases = [
 		{
-			name: 'runs the work of its own callers itself where there is room', self: gateways, hasConnectionPerWorkspace: true, isOwnFirst: true,
+			name: 'runs the work of its own callers on a gateway when it can hold a connection per workspace', self: gateways, hasConnectionPerWorkspace: true, isOwnFirst: true,
 		},
 		{
-			name: 'leaves work to the gateway of the workspace where there is none', self: gateways, hasConnectionPerWorkspace: false, isOwnFirst: false,
+			name: 'sends work to the gateway of the workspace when connections are scarce', self: gateways, hasConnectionPerWorkspace: false, isOwnFirst: false,
 		},
 		{
-			name: 'sends work to a gateway when it is none', self: [other], hasConnectionPerWorkspace: true, isOwnFirst: false,
+			name: 'sends work to a gateway when the host is not a gateway', self: [other], hasConnectionPerWorkspace: true, isOwnFirst: false,
 		},
 	];
 	for (const {name, self: selves, hasConnectionPerWorkspace, isOwnFirst} of cases) {
@@ -63,8 +63,8 @@
 			const firsts = selves.map(self => rankGateways({
 				...shared, self, hasConnectionPerWorkspace, workspace: 'upper', zone: 'b', hosts,
 			}));
-			expect(firsts.every((hostsInOrder, index) => hostsInOrder[0] === selves[index])).to.equal(isOwnFirst);
-			expect(firsts.every(hostsInOrder => new Set(hostsInOrder).size === hostsInOrder.length)).to.equal(true);
+			expect(firsts.every((ranked, index) => ranked[0] === selves[index])).to.equal(isOwnFirst);
+			expect(firsts.every(ranked => new Set(ranked).size === ranked.length)).to.equal(true);
 		});
 	}
 });
