--- a/packages/sessions/create-gateways.ts
+++ b/packages/sessions/create-gateways.ts
@@ -10,7 +10,7 @@
 	readonly findFleet: () => FleetRows | undefined;
 	readonly findPeer: (host: string) => FleetPeer | undefined;
 	/** Returns the present number of gateways of each instance. */
-	readonly findCount: () => number;
+	readonly countGateways: () => number;
 	/** Whether the connection limit of a group lets each gateway hold a connection for every workspace. */
 	readonly hasConnectionPerWorkspace: (group: string) => boolean;
 	/** Returns the monotonic time in milliseconds. */
@@ -36,7 +36,7 @@
 
 /** Creates the access to instances through other hosts. */
 export function createGateways({
-	own, findFleet, findPeer, findCount, hasConnectionPerWorkspace, now,
+	own, findFleet, findPeer, countGateways, hasConnectionPerWorkspace, now,
 }: Options): Gateways {
 	const reachabilities = new Map<string, Reachability>();
 	/** Time until which a host is not used for an instance that it could not reach, by host and instance. */
@@ -59,7 +59,7 @@
 		}
 
 		const hasOnePerWorkspace = hasConnectionPerWorkspace(instance.group);
-		const count = findCount();
+		const count = countGateways();
 		const key = `${instance.id} ${instance.zone} ${workspace ?? ''} ${count} ${String(hasOnePerWorkspace)}`;
 		const known = ranks.get(key) ?? rankGateways({
 			instance, workspace, self: own.name, zone: own.zone, count, hasConnectionPerWorkspace: hasOnePerWorkspace, hosts: [...fleet?.hosts.values() ?? []],
--- a/packages/sessions/create-instance-pool.test.ts
+++ b/packages/sessions/create-instance-pool.test.ts
@@ -93,7 +93,7 @@
 
 	it('distinguishes a full instance from an unreachable one', async () => {
 		const full = createPool(1, {kind: 'refused', code: 'tooManyConnections'});
-		const unreachable = createPool(1, {kind: 'absent'});
+		const unreachable = createPool(1, {kind: 'notListening'});
 		const request = {workspace: 'upper', priority: 1, timeout: 10};
 		const outcomes = await Promise.all([full.pool.acquire(request), unreachable.pool.acquire(request)]);
 		expect(outcomes).to.deep.equal([{kind: 'busy'}, {kind: 'unreachable'}]);
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -45,7 +45,7 @@
 		async open(workspace) {
 			recordObservation({kind: 'sent'});
 			const outcome = await openConnection(listed, {workspace, timeout: connectTimeoutMs});
-			if (outcome.kind === 'absent' || outcome.kind === 'silent') {
+			if (outcome.kind === 'notListening' || outcome.kind === 'unanswered') {
 				recordObservation({kind: 'failed'});
 			} else {
 				recordObservation({kind: 'answered', latency: undefined, position: undefined});
@@ -92,8 +92,8 @@
 		health: () => health,
 		pool,
 		send,
-		recordLag(lacks) {
-			recordObservation({kind: 'lagging', lacks});
+		recordLag(missingPosition) {
+			recordObservation({kind: 'lagging', lacks: missingPosition});
 		},
 	};
 }
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -22,54 +22,56 @@
 	readonly zone: string;
 	readonly openConnection: OpenConnection;
 	readonly gateways: Gateways;
-	/** Whether this host reads the store, and tells others how far the primary's log is. */
+	/** Whether this host reads the store directly, and passes the primary's log position on to other hosts. */
 	readonly isReading: () => boolean;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
-	/** A workspace in whose name the primary may be asked for its position. */
+	/** Finds a workspace on whose behalf the primary's position may be queried. */
 	readonly findWorkspace: () => string | undefined;
 };
 
-/** Milliseconds after which an instance that is no longer listed is given up; its entry may have lapsed by mistake. */
-const missingSpan = 2500;
+/** Time after which an instance that is no longer listed is dropped; the platform may have lost its entry by mistake. */
+const missingGracePeriodMs = 2500;
 
-/** Milliseconds for which an idle connection is kept to an instance that others connect to. */
-const foreignLinkSpan = 2000;
+/** Time for which an idle connection is kept to an instance whose gateways are other hosts. */
+const nonGatewayIdleTimeoutMs = 2000;
 
-/** Milliseconds after such a read for which positions are kept up to date. */
-const wantedSpan = 5000;
+/** Time for which positions are kept up to date after a caller last requested a read from a replica. */
+const samplingPeriodMs = 5000;
 
-/** Creates what a host keeps of a group of instances. */
+/** Creates this host's state of a group of instances: the instances, the primary and samples of the primary's log position. */
 export function createSessionGroup(name: string, options: Options): SessionGroup {
 	const {
-		zone, openConnection: openLink, gateways, now, log, findWorkspace, isReading,
+		zone, openConnection, gateways, now, log, findWorkspace, isReading,
 	} = options;
 	const instances = new Map<string, InstanceRuntime>();
+	/** Called when the primary may have changed. */
 	const waiters = new Set<() => void>();
-	/** Instances that the platform lists no more, and since when in steady milliseconds. */
+	/** Instances that the platform no longer lists, with the monotonic milliseconds since when. */
 	const missing = new Map<string, number>();
 	let row: Versioned<GroupRow> | undefined;
-	let provenAt: Instant | undefined;
+	let confirmedAt: Instant | undefined;
 	let fencedAt: number | undefined;
-	/** Epoch whose fence this host has promised to respect, whatever older rows say. */
+	/** Epoch of the newest fence that this host has acknowledged; it must not use primaries of older epochs, whatever the store's row says. */
 	let fencedEpoch = 0;
 	let isRegistered = false;
 	let samples: readonly PositionSample[] = [];
-	let isProbing = false;
-	/** When a caller last wanted to read at a replica, in steady milliseconds. */
-	let wantedAt = Number.NEGATIVE_INFINITY;
+	/** Whether a position query is in flight. */
+	let isSampling = false;
+	/** When a caller last requested a read that a replica may serve, in monotonic milliseconds. */
+	let replicaReadAt = Number.NEGATIVE_INFINITY;
 
 	const primary = () => findPrimary({
-		row: row !== undefined && row.epoch < fencedEpoch ? {...row, state: 'fencing'} : row, provenAt, fencedAt, isRegistered,
+		row: row !== undefined && row.epoch < fencedEpoch ? {...row, state: 'fencing'} : row, provenAt: confirmedAt, fencedAt, isRegistered,
 	}, now());
 
-	const wake = () => {
+	const notifyWaiters = () => {
 		for (const waiter of waiters) {
 			waiter();
 		}
 	};
 
-	const updateRow: SessionGroup['updateRow'] = (newer, newerProvenAt) => {
+	const updateRow: SessionGroup['updateRow'] = (newer, newerConfirmedAt) => {
 		if (newer === undefined || (row !== undefined && newer.version < row.version)) {
 			return;
 		}
@@ -77,7 +79,7 @@
 		if (newer.epoch !== row?.epoch || newer.state !== row.state) {
 			log.info({
 				group: name, epoch: newer.epoch, state: newer.state, primary: newer.primary, successor: newer.successor, version: newer.version,
-			}, 'group: The store names the primary.');
+			}, 'group: The epoch or state of the primary changed in the store.');
 			fencedAt = newer.state === 'fencing' ? now().steady : undefined;
 			if (newer.epoch !== row?.epoch) {
 				samples = [];
@@ -85,8 +87,8 @@
 		}
 
 		row = newer;
-		provenAt = newerProvenAt;
-		wake();
+		confirmedAt = newerConfirmedAt;
+		notifyWaiters();
 	};
 
 	const updateInstances: SessionGroup['updateInstances'] = (listed, limit) => {
@@ -94,7 +96,7 @@
 			const known = instances.get(entry.id);
 			if (known === undefined) {
 				instances.set(entry.id, createInstanceRuntime(entry, {
-					openConnection: openLink, gateways, limit, now: () => now().steady,
+					openConnection, gateways, limit, now: () => now().steady,
 				}));
 			} else {
 				known.update(entry);
@@ -114,10 +116,10 @@
 		}
 	};
 
-	/** Gives up instances that are gone for good; the primary stays until it is replaced. */
+	/** Drops instances that stayed unlisted for the grace period; the primary is kept until it is replaced. */
 	const dropMissing = () => {
 		for (const [id, since] of missing) {
-			if (now().steady - since > missingSpan && row?.primary !== id) {
+			if (now().steady - since > missingGracePeriodMs && row?.primary !== id) {
 				missing.delete(id);
 				instances.get(id)?.pool.close();
 				instances.delete(id);
@@ -125,11 +127,11 @@
 		}
 	};
 
-	/** Closes connections to instances whose gateway this host is not; they were opened to ask for a status. */
-	const dropForeignLinks = () => {
+	/** Closes idle connections to instances of which this host is no gateway; they were opened to query a status. */
+	const closeNonGatewayConnections = () => {
 		for (const instance of instances.values()) {
 			if (!gateways.list(instance.listed(), undefined).includes(gateways.self)) {
-				instance.pool.closeIdle(now().steady - foreignLinkSpan);
+				instance.pool.closeIdle(now().steady - nonGatewayIdleTimeoutMs);
 			}
 		}
 	};
@@ -153,13 +155,14 @@
 			.filter(instance => instance !== undefined);
 	};
 
-	const noteAnswer: SessionGroup['recordAnswer'] = (instance, answer, asked) => {
+	const recordAnswer: SessionGroup['recordAnswer'] = (instance, answer, asked) => {
 		const isSample = answer.kind === 'answered' && instance === row?.primary && asked.epoch === row.epoch && row.state === 'serving';
 		if (isSample && answer.position !== undefined) {
 			samples = addSample(samples, {askedAt: asked.at, position: answer.position});
 		}
 	};
 
+	/** Queries the position of the primary and records it. */
 	const sample = async () => {
 		const view = primary();
 		const instance = view.kind === 'leased' ? instances.get(view.instance) : undefined;
@@ -171,7 +174,7 @@
 		const at = now();
 		const {answer} = await instance.run({kind: 'position', workspace}, () => true);
 		if (answer.kind !== 'notSent') {
-			noteAnswer(view.instance, answer, {at, epoch: view.epoch});
+			recordAnswer(view.instance, answer, {at, epoch: view.epoch});
 		}
 	};
 
@@ -181,7 +184,7 @@
 		updateRow,
 		setRegistered() {
 			isRegistered = true;
-			wake();
+			notifyWaiters();
 		},
 		fence(epoch) {
 			if (epoch > fencedEpoch) {
@@ -218,11 +221,11 @@
 		findInstance: id => instances.get(id),
 		listInstances: () => [...instances.values()],
 		findRequiredPosition(read) {
-			wantedAt = now().steady;
+			replicaReadAt = now().steady;
 			return row === undefined ? undefined : findRequiredPosition({samples, epoch: row.epoch, ...read});
 		},
 		listReaders,
-		recordAnswer: noteAnswer,
+		recordAnswer,
 		findNewestPosition() {
 			const newest = samples.at(-1);
 			return newest && row && {
@@ -236,24 +239,24 @@
 		},
 		async step() {
 			dropMissing();
-			dropForeignLinks();
+			closeNonGatewayConnections();
 			const last = samples.at(-1);
 			const at = now();
 			const isDue = isSampleDue({
 				age: last === undefined ? Number.POSITIVE_INFINITY : findElapsed(last.askedAt, at),
 				isReading: isReading(),
-				isWanted: at.steady - wantedAt < wantedSpan,
+				isWanted: at.steady - replicaReadAt < samplingPeriodMs,
 				now: at.steady,
 			});
-			if (isProbing || !isDue) {
+			if (isSampling || !isDue) {
 				return;
 			}
 
-			isProbing = true;
+			isSampling = true;
 			try {
 				await sample();
 			} finally {
-				isProbing = false;
+				isSampling = false;
 			}
 		},
 	};
--- a/packages/sessions/host-profile.ts
+++ b/packages/sessions/host-profile.ts
@@ -6,29 +6,31 @@
 	readonly port: number;
 };
 
-/** What a host knows of itself and of the platform when it starts. */
+/** The boot settings of a host: its identity, the addresses that it uses and the bounds that it must respect. */
 export type HostProfile = {
 	readonly name: string;
+	/** Availability zone. */
 	readonly zone: string;
-	/** Whether the whole fleet starts for the first time; false at every later start of a process. */
+	/** Whether the whole fleet starts for the first time; false when a process starts later. */
 	readonly isFirstStart: boolean;
 	readonly listen: {
-		/** Sessions of callers. */
+		/** Connections of callers. */
 		readonly callers: Address;
-		/** The platform's question whether the host is ready. */
+		/** The platform's readiness check. */
 		readonly readiness: Address;
-		/** Calls of other hosts, and metrics. */
+		/** Calls of other hosts. */
 		readonly hosts: Address;
 		readonly metrics: Address;
 	};
+	/** The store that all hosts share. */
 	readonly store: Address;
-	/** Where promotions are ordered. */
+	/** The platform's endpoint for promotions. */
 	readonly promotions: Address;
-	/** Milliseconds after which a withdrawn key must have stopped working everywhere. */
+	/** Milliseconds after which no host may accept a revoked key any more. */
 	readonly revocationLimitMs: number;
-	/** Milliseconds after which an accepted configuration must be in force. */
+	/** Milliseconds after which an accepted configuration must be in force on every host. */
 	readonly configurationLimitMs: number;
 	readonly rateBound: RateBound;
-	/** Milliseconds from the request to stop until the process is killed. */
+	/** Milliseconds between the request to stop and the kill of the process. */
 	readonly gracePeriodMs: number;
 };
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -25,5 +25,5 @@
 	/** Runs a job on an own connection. */
 	readonly runLocally: JobRunner;
 	/** Records that the instance answered that its log does not hold a position. */
-	readonly recordLag: (lacks: LogPoint) => void;
+	readonly recordLag: (missingPosition: LogPoint) => void;
 };
--- a/packages/sessions/open-connection-outcome.ts
+++ b/packages/sessions/open-connection-outcome.ts
@@ -6,6 +6,6 @@
 	/** The instance answered and refused the connection. */
 	| {readonly kind: 'refused'; readonly code: 'moved' | 'tooManyConnections' | 'busy'}
 	/** The network refused the connection: no process listens at the address. */
-	| {readonly kind: 'absent'}
+	| {readonly kind: 'notListening'}
 	/** The instance did not answer in time, or the connection broke before it did. */
-	| {readonly kind: 'silent'};
+	| {readonly kind: 'unanswered'};
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -9,35 +9,37 @@
 import type {SessionMark} from './session-mark.ts';
 import type {Versioned} from './versioned.ts';
 
-/** A group of instances as a host uses it. */
+/** A group of instances (a primary and its replicas), as this host uses it. */
 export type SessionGroup = {
 	readonly name: string;
-	/** Takes in the instances that the platform lists; departed ones are given up. */
+	/** Applies the platform's list of instances and the connection limit for each; instances that stay unlisted are dropped. */
 	readonly updateInstances: (listed: readonly ListedInstance[], limit: number) => void;
-	/** Takes in what the store holds about the primary, as of a moment. */
-	readonly updateRow: (row: Versioned<GroupRow> | undefined, provenAt: Instant) => void;
+	/** Applies the store's row about the primary; `confirmedAt` is the time as of which the store confirmed the row. */
+	readonly updateRow: (row: Versioned<GroupRow> | undefined, confirmedAt: Instant) => void;
+	/** Records that this host is registered in the store; without that, no primary may be used. */
 	readonly setRegistered: () => void;
-	/** Gives the primary up at once, because a successor is being made. */
+	/** Stops using the primary of every epoch before this one at once, because it is being replaced. */
 	readonly fence: (epoch: number) => void;
-	/** Since when a successor is being made, in steady milliseconds. */
+	/** When this host learned that the primary is being replaced, in monotonic milliseconds; undefined if it is not. */
 	readonly fencedAt: () => number | undefined;
-	/** Since when the platform does not list an instance, in steady milliseconds. */
+	/** Since when the platform has not listed an instance, in monotonic milliseconds; undefined if it is listed. */
 	readonly missingSince: (id: string) => number | undefined;
+	/** Returns whether the primary may be used now, and which instance it is. */
 	readonly primary: () => PrimaryView;
-	/** Waits until the primary may be used, `timeout` milliseconds at most. */
+	/** Waits until the primary may be used, for at most `timeout` milliseconds. */
 	readonly waitForPrimary: (timeout: number) => Promise<PrimaryView>;
 	readonly findInstance: (id: string) => InstanceRuntime | undefined;
 	readonly listInstances: () => readonly InstanceRuntime[];
-	/** Position that a log must hold for a read; undefined when only the primary can tell. */
+	/** Finds the position that a replica's log must hold to serve a read; returns undefined when only the primary can serve it. */
 	readonly findRequiredPosition: (read: {readonly maxStaleness: number; readonly mark: SessionMark | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
-	/** Instances that may serve a read, best first. */
+	/** Lists the instances that may serve a read, best first. */
 	readonly listReaders: (required: LogPoint) => readonly InstanceRuntime[];
-	/** Takes note of the position in an answer of the primary. */
+	/** Records the position in an answer of the primary; answers of other instances and of other epochs are ignored. */
 	readonly recordAnswer: (instance: string, answer: InstanceAnswer, asked: {readonly at: Instant; readonly epoch: number}) => void;
-	/** Newest known position of the primary's log; undefined when none is known. */
+	/** Finds the newest known position of the primary's log. */
 	readonly findNewestPosition: () => PositionOfAge | undefined;
-	/** Takes note of a position that another host knows; its age counts from the moment given. */
+	/** Records a position that another host reported; its age counts from the time `from`. */
 	readonly recordPosition: (position: PositionOfAge, from: Instant) => void;
-	/** Asks the primary for its position if no answer has told it lately. */
+	/** Drops instances that stay unlisted and surplus connections, and queries the primary's position if a sample is due. */
 	readonly step: () => Promise<void>;
 };
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -33,7 +33,7 @@
 	readonly store: Store;
 	readonly openConnection: OpenConnection;
 	readonly orderPromotion: OrderPromotion;
-	/** Opens the way to another host. */
+	/** Creates the client for calls to another host. */
 	readonly createPeer: (address: string) => FleetPeer;
 	readonly decodeDirectory: (text: string) => Directory;
 	readonly decodeInstance: (id: string, text: string) => ListedInstance | undefined;
@@ -44,16 +44,19 @@
 	readonly onSessions: (count: number) => void;
 };
 
-/** Milliseconds between two rounds of small tasks. */
-const tickInterval = 200;
+/** Time between two runs of the periodic tasks. */
+const tickIntervalMs = 200;
 
-/** Milliseconds for which what the platform lists counts as recent. */
-const listFreshness = 6500;
+/** Age up to which the platform's list of instances counts as recent. */
+const maxInstanceListAgeMs = 6500;
 
-/** Milliseconds that taking the registration back may last when the host stops. */
-const leaveLimit = 600;
+/** Time that deregistration may take when the host stops. */
+const deregisterTimeoutMs = 600;
 
-/** Starts a host that serves sessions: it learns what the store holds, and takes callers once it knows enough. */
+/**
+ * Starts a host that serves sessions. The host reads the store's tables, and is ready for callers once it knows the
+ * configuration and the instances and is registered in the store.
+ */
 export function startSessionHost(options: Options): SessionHost {
 	const {profile, store, now, log} = options;
 	const groups = new Map<string, SessionGroup>();
@@ -77,9 +80,9 @@
 
 	const findPeer = (name: string): FleetPeer | undefined => {
 		const address = findFleet()?.hosts.get(name)?.address;
-		const before = peers.get(name);
-		if (address === undefined || before?.address === address) {
-			return before?.peer;
+		const known = peers.get(name);
+		if (address === undefined || known?.address === address) {
+			return known?.peer;
 		}
 
 		const peer = options.createPeer(address);
@@ -95,7 +98,7 @@
 		listInstances,
 		isListFresh() {
 			const proof = findProof('instances');
-			return proof !== undefined && findElapsed(proof, now()) < listFreshness;
+			return proof !== undefined && findElapsed(proof, now()) < maxInstanceListAgeMs;
 		},
 		findPeer,
 		listSilentHosts: () => rates.listSilentHosts(),
@@ -117,16 +120,16 @@
 		log,
 	});
 
-	const findGateways = () => findGatewayCount({hosts: findFleet()?.hosts.size ?? 0, instances: listInstances().length});
+	const countGateways = () => findGatewayCount({hosts: findFleet()?.hosts.size ?? 0, instances: listInstances().length});
 
 	const gateways = createGateways({
 		own,
 		findFleet,
 		findPeer,
-		findCount: findGateways,
+		countGateways,
 		hasConnectionPerWorkspace(group) {
 			const directory = findDirectory()?.directory;
-			return findConnectionLimit(directory?.connectionCaps.get(group) ?? 0, findGateways()) >= (directory?.limits.size ?? Number.POSITIVE_INFINITY);
+			return findConnectionLimit(directory?.connectionCaps.get(group) ?? 0, countGateways()) >= (directory?.limits.size ?? Number.POSITIVE_INFINITY);
 		},
 		now: () => now().steady,
 	});
@@ -143,7 +146,7 @@
 				isReading: () => reader.isReading(),
 			});
 			groups.set(name, group);
-			group.updateInstances(listInstances().filter(entry => entry.group === name), findConnectionLimit(cap, findGateways()));
+			group.updateInstances(listInstances().filter(entry => entry.group === name), findConnectionLimit(cap, countGateways()));
 			if (control.isRegistered()) {
 				group.setRegistered();
 			}
@@ -187,7 +190,7 @@
 		}
 	};
 
-	const timer = setInterval(tick, tickInterval);
+	const timer = setInterval(tick, tickIntervalMs);
 
 	const findCallerAccess = (caller: Caller) => findAccess(findDirectory(), {
 		...caller, revocationLimit: profile.revocationLimitMs, newsLimit: profile.configurationLimitMs, now: now(),
@@ -226,9 +229,9 @@
 		async stop(closeDoor) {
 			isStopping = true;
 			gateway.close();
-			log.info({sessions: registry.count(), foreign: gateway.countActive()}, 'host: The host stops; it takes no new callers.');
+			log.info({sessions: registry.count(), foreign: gateway.countActive()}, 'host: The host is stopping; it accepts no new callers.');
 			await registry.stop(closeDoor);
-			await Promise.race([control.leave(), sleep(leaveLimit)]);
+			await Promise.race([control.leave(), sleep(deregisterTimeoutMs)]);
 			clearInterval(timer);
 			reader.stop();
 			log.info({}, 'host: The host has stopped.');
