--- a/packages/sessions/create-gateways.ts
+++ b/packages/sessions/create-gateways.ts
@@ -31,7 +31,7 @@
  */
 const reachableForMs = {retryable: 10_000, other: 1000};
 
-/** Milliseconds for which a host is not used after it did not answer, did not serve a job or could not reach the instance. */
+/** Milliseconds for which a host is skipped after it did not answer, did not serve a job or could not reach the instance. */
 const backoffMs = 1000;
 
 /** Creates the access to instances through other hosts. */
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -29,13 +29,13 @@
 	idleTimer?: NodeJS.Timeout;
 };
 
-/** Time within which an instance must answer a read before the read is tried elsewhere: a multiple of its usual latency. */
+/** Time within which an instance must answer a read, before the read is tried elsewhere: a multiple of its latency. */
 const readTimeout = {minMs: 500, latencyFactor: 10};
 
 /** Time within which an instance must answer each request that sets up and begins a transaction. */
 const beginTimeoutMs = 600;
 
-/** Time within which an instance must answer a rollback; otherwise the connection is closed, which ends the transaction. */
+/** Time within which an instance must answer a rollback before the connection is closed instead. */
 const rollbackTimeoutMs = 500;
 
 /** Time for which a position query waits for a connection. */
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -39,7 +39,7 @@
 /** Time for which positions are kept up to date after a caller last requested a read from a replica. */
 const samplingPeriodMs = 5000;
 
-/** Creates this host's state of a group of instances: the instances, the primary and samples of the primary's log position. */
+/** Creates this host's state of a group: its instances, its primary and samples of the primary's log position. */
 export function createSessionGroup(name: string, options: Options): SessionGroup {
 	const {
 		zone, openConnection, gateways, now, log, findWorkspace, isReading,
@@ -52,7 +52,10 @@
 	let row: Versioned<GroupRow> | undefined;
 	let confirmedAt: Instant | undefined;
 	let fencedAt: number | undefined;
-	/** Epoch of the newest fence that this host has acknowledged; it must not use primaries of older epochs, whatever the store's row says. */
+	/**
+	 * Epoch of the newest fence that this host has acknowledged. The host must not use the primary of an older epoch, even
+	 * if the row that it knows still names one.
+	 */
 	let fencedEpoch = 0;
 	let isRegistered = false;
 	let samples: readonly PositionSample[] = [];
--- a/packages/sessions/gateways.ts
+++ b/packages/sessions/gateways.ts
@@ -8,7 +8,10 @@
 	readonly list: (instance: ListedInstance, workspace: string | undefined) => readonly string[];
 	/** Name of this host. */
 	readonly self: string;
-	/** Whether a host is skipped for an instance at present, because it lately did not answer, did not serve a job or could not reach the instance. */
+	/**
+	 * Whether a host is skipped for an instance at present, because it lately did not answer, did not serve a job or could
+	 * not reach the instance.
+	 */
 	readonly isAvoided: (host: string, instance: ListedInstance) => boolean;
 	/**
 	 * Whether a host answers. Pings the host unless it answered recently; an older answer is enough for work that can be
--- a/packages/sessions/instance-request.ts
+++ b/packages/sessions/instance-request.ts
@@ -10,7 +10,10 @@
 	| {readonly kind: 'begin'; readonly isReadOnly: boolean; readonly after?: LogPoint | undefined}
 	| {readonly kind: 'rollback'}
 	| Extract<Statement, {readonly kind: 'set' | 'prepare'}>
-	/** Clears the session variables and prepared statements of the connection; answered with the log position, without using an execution slot. */
+	/**
+	 * Clears the session variables and prepared statements of the connection. Answered with the log position, without using
+	 * an execution slot.
+	 */
 	| {readonly kind: 'reset'}
 	| {readonly kind: 'status'}
 	/** Demotes a primary of an older term to replica. */
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -20,7 +20,7 @@
 	readonly send: (pooled: PooledConnection, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
 	/** Runs a job on an own connection or through a gateway. */
 	readonly run: RunJob;
-	/** Pings the gateway of a workspace unless it answered lately, so that a write that follows need not wait for the ping. */
+	/** Pings the gateway of a workspace unless it answered lately, so that a following write need not wait for the ping. */
 	readonly checkGateway: (workspace: string) => void;
 	/** Runs a job on an own connection. */
 	readonly runLocally: JobRunner;
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -12,7 +12,7 @@
 /** A group of instances (a primary and its replicas), as this host uses it. */
 export type SessionGroup = {
 	readonly name: string;
-	/** Applies the platform's list of instances and the connection limit for each; instances that stay unlisted are dropped. */
+	/** Applies the platform's list of instances, and the limit of this host's connections to each of them. */
 	readonly updateInstances: (listed: readonly ListedInstance[], limit: number) => void;
 	/** Applies the store's row about the primary; `confirmedAt` is the time as of which the store confirmed the row. */
 	readonly updateRow: (row: Versioned<GroupRow> | undefined, confirmedAt: Instant) => void;
@@ -30,7 +30,7 @@
 	readonly waitForPrimary: (timeout: number) => Promise<PrimaryView>;
 	readonly findInstance: (id: string) => InstanceRuntime | undefined;
 	readonly listInstances: () => readonly InstanceRuntime[];
-	/** Finds the position that a replica's log must hold to serve a read; returns undefined when only the primary can serve it. */
+	/** Finds the position that a log must hold to serve a read; undefined when only the primary can serve the read. */
 	readonly findRequiredPosition: (read: {readonly maxStaleness: number; readonly mark: SessionMark | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
 	/** Lists the instances that may serve a read, best first. */
 	readonly listReaders: (required: LogPoint) => readonly InstanceRuntime[];
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -41,7 +41,7 @@
 	readonly log: SessionLog;
 	readonly onAnswered: SessionContext['onAnswered'];
 	/** Called with the number of open sessions when it changes. */
-	readonly onSessions: (count: number) => void;
+	readonly onSessionCount: (count: number) => void;
 };
 
 /** Time between two runs of the periodic tasks. */
@@ -212,7 +212,7 @@
 	};
 
 	const registry = createSessionRegistry({
-		context, onSessions: options.onSessions, countForeign: gateway.countActive, graceSpan: profile.gracePeriodMs, now,
+		context, onSessions: options.onSessionCount, countForeign: gateway.countActive, graceSpan: profile.gracePeriodMs, now,
 	});
 
 	return {
@@ -226,11 +226,11 @@
 			runJob: gateway.runJob,
 			ping: async () => true,
 		},
-		async stop(closeDoor) {
+		async stop(stopAccepting) {
 			isStopping = true;
 			gateway.close();
 			log.info({sessions: registry.count(), foreign: gateway.countActive()}, 'host: The host is stopping; it accepts no new callers.');
-			await registry.stop(closeDoor);
+			await registry.stop(stopAccepting);
 			await Promise.race([control.leave(), sleep(deregisterTimeoutMs)]);
 			clearInterval(timer);
 			reader.stop();
