--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -3,7 +3,7 @@
 import type {GroupRow} from './group-row.ts';
 import type {InstanceAnswer} from './instance-answer.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
-import type {PooledLink} from './pooled-link.ts';
+import type {PooledConnection} from './pooled-connection.ts';
 import {replacePrimary} from './replace-primary.ts';
 import type {Replacement} from './replacement.ts';
 import type {SessionGroup} from './session-group.ts';
@@ -15,8 +15,8 @@
 const now = () => ({steady: performance.now(), wall: Date.now()});
 
 function createInstance(id: string, says: () => string | undefined): InstanceRuntime {
-	const link: PooledLink = {
-		link: {
+	const link: PooledConnection = {
+		connection: {
 			send: async () => ({kind: 'lost', reason: ''}),
 			close: () => undefined,
 			isClosed: () => false,
@@ -34,19 +34,19 @@
 		listed: () => ({
 			id, group: 'pondbook', host: '', port: 0, zone: 'a', slots: 5, isDeparting: false, role: 'replica',
 		}),
-		reach: () => undefined,
+		checkGateway: () => undefined,
 		update: () => undefined,
 		health() {
 			throw new Error('The health is not asked for');
 		},
 		pool: {
-			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', link, openSpan: 0},
+			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', connection: link, openMs: 0},
 			release: () => undefined,
 			takeIdle: () => undefined,
-			load: () => ({
+			readLoad: () => ({
 				busy: 0, idle: 0, waiting: 0, limit: 1,
 			}),
-			dropIdle: () => undefined,
+			closeIdle: () => undefined,
 			setLimit: () => undefined,
 			close: () => undefined,
 		},
@@ -57,7 +57,7 @@
 		runLocally() {
 			throw new Error('No job is run');
 		},
-		noteLag: () => undefined,
+		recordLag: () => undefined,
 	};
 }
 
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -19,7 +19,7 @@
 import type {Instant} from './instant.ts';
 import type {KnownTable} from './known-table.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import type {OpenLink} from './open-link.ts';
+import type {OpenConnection} from './open-connection.ts';
 import type {OrderPromotion} from './order-promotion.ts';
 import type {SessionContext} from './session-context.ts';
 import type {SessionGroup} from './session-group.ts';
@@ -31,9 +31,9 @@
 type Options = {
 	readonly profile: HostProfile;
 	readonly store: Store;
-	readonly openLink: OpenLink;
+	readonly openConnection: OpenConnection;
 	readonly orderPromotion: OrderPromotion;
-	/** Opens the way to another host. */
+	/** Creates the client for calls to another host. */
 	readonly createPeer: (address: string) => FleetPeer;
 	readonly decodeDirectory: (text: string) => Directory;
 	readonly decodeInstance: (id: string, text: string) => ListedInstance | undefined;
@@ -41,19 +41,22 @@
 	readonly log: SessionLog;
 	readonly onAnswered: SessionContext['onAnswered'];
 	/** Called with the number of open sessions when it changes. */
-	readonly onSessions: (count: number) => void;
+	readonly onSessionCount: (count: number) => void;
 };
 
-/** Milliseconds between two rounds of small tasks. */
-const tickInterval = 200;
+/** Time between two runs of the periodic tasks. */
+const tickIntervalMs = 200;
 
-/** Milliseconds for which what the platform lists counts as recent. */
-const listFreshness = 6500;
+/** Age up to which the platform's list of instances counts as recent. */
+const maxInstanceListAgeMs = 6500;
 
-/** Milliseconds that taking the registration back may last when the host stops. */
-const leaveLimit = 600;
+/** Time that deregistration may take when the host stops. */
+const deregisterTimeoutMs = 600;
 
-/** Starts a host that serves sessions: it learns what the store holds, and takes callers once it knows enough. */
+/**
+ * Starts a host that serves sessions. The host reads the store's tables, and is ready for callers once it knows the
+ * configuration and the instances and is registered in the store.
+ */
 export function startSessionHost(options: Options): SessionHost {
 	const {profile, store, now, log} = options;
 	const groups = new Map<string, SessionGroup>();
@@ -77,9 +80,9 @@
 
 	const findPeer = (name: string): FleetPeer | undefined => {
 		const address = findFleet()?.hosts.get(name)?.address;
-		const before = peers.get(name);
-		if (address === undefined || before?.address === address) {
-			return before?.peer;
+		const known = peers.get(name);
+		if (address === undefined || known?.address === address) {
+			return known?.peer;
 		}
 
 		const peer = options.createPeer(address);
@@ -95,7 +98,7 @@
 		listInstances,
 		isListFresh() {
 			const proof = findProof('instances');
-			return proof !== undefined && findElapsed(proof, now()) < listFreshness;
+			return proof !== undefined && findElapsed(proof, now()) < maxInstanceListAgeMs;
 		},
 		findPeer,
 		listSilentHosts: () => rates.listSilentHosts(),
@@ -117,16 +120,16 @@
 		log,
 	});
 
-	const findGateways = () => findGatewayCount({hosts: findFleet()?.hosts.size ?? 0, instances: listInstances().length});
+	const countGateways = () => findGatewayCount({hosts: findFleet()?.hosts.size ?? 0, instances: listInstances().length});
 
 	const gateways = createGateways({
 		own,
 		findFleet,
 		findPeer,
-		findCount: findGateways,
-		isRoomy(group) {
+		countGateways,
+		hasConnectionPerWorkspace(group) {
 			const directory = findDirectory()?.directory;
-			return findConnectionLimit(directory?.connectionCaps.get(group) ?? 0, findGateways()) >= (directory?.limits.size ?? Number.POSITIVE_INFINITY);
+			return findConnectionLimit(directory?.connectionCaps.get(group) ?? 0, countGateways()) >= (directory?.limits.size ?? Number.POSITIVE_INFINITY);
 		},
 		now: () => now().steady,
 	});
@@ -135,7 +138,7 @@
 		for (const [name, cap] of findDirectory()?.directory.connectionCaps ?? []) {
 			const group = groups.get(name) ?? createSessionGroup(name, {
 				zone: profile.zone,
-				openLink: options.openLink,
+				openConnection: options.openConnection,
 				gateways,
 				now,
 				log,
@@ -143,7 +146,7 @@
 				isReading: () => reader.isReading(),
 			});
 			groups.set(name, group);
-			group.updateInstances(listInstances().filter(entry => entry.group === name), findConnectionLimit(cap, findGateways()));
+			group.updateInstances(listInstances().filter(entry => entry.group === name), findConnectionLimit(cap, countGateways()));
 			if (control.isRegistered()) {
 				group.setRegistered();
 			}
@@ -172,7 +175,7 @@
 		listPositions: () => [...groups.values()].map(group => group.findNewestPosition()).filter(position => position !== undefined),
 		onPositions(positions, from) {
 			for (const position of positions) {
-				groups.get(position.group)?.notePosition(position, from);
+				groups.get(position.group)?.recordPosition(position, from);
 			}
 		},
 		now,
@@ -183,14 +186,14 @@
 		control.step();
 		rates.step();
 		for (const group of groups.values()) {
-			void group.probe();
+			void group.step();
 		}
 	};
 
-	const timer = setInterval(tick, tickInterval);
+	const timer = setInterval(tick, tickIntervalMs);
 
 	const findCallerAccess = (caller: Caller) => findAccess(findDirectory(), {
-		...caller, revocationLimit: profile.revocationLimit, newsLimit: profile.configurationLimit, now: now(),
+		...caller, revocationLimit: profile.revocationLimitMs, newsLimit: profile.configurationLimitMs, now: now(),
 	});
 
 	const gateway = createGateway({
@@ -209,7 +212,7 @@
 	};
 
 	const registry = createSessionRegistry({
-		context, onSessions: options.onSessions, countForeign: gateway.countOpen, graceSpan: profile.graceSpan, now,
+		context, onSessions: options.onSessionCount, countForeign: gateway.countActive, graceSpan: profile.gracePeriodMs, now,
 	});
 
 	return {
@@ -223,12 +226,12 @@
 			runJob: gateway.runJob,
 			ping: async () => true,
 		},
-		async stop(closeDoor) {
+		async stop(stopAccepting) {
 			isStopping = true;
 			gateway.close();
-			log.info({sessions: registry.count(), foreign: gateway.countOpen()}, 'host: The host stops; it takes no new callers.');
-			await registry.stop(closeDoor);
-			await Promise.race([control.leave(), sleep(leaveLimit)]);
+			log.info({sessions: registry.count(), foreign: gateway.countActive()}, 'host: The host is stopping; it accepts no new callers.');
+			await registry.stop(stopAccepting);
+			await Promise.race([control.leave(), sleep(deregisterTimeoutMs)]);
 			clearInterval(timer);
 			reader.stop();
 			log.info({}, 'host: The host has stopped.');
