--- a/packages/sessions/apply-local-statement.ts
+++ b/packages/sessions/apply-setup-statement.ts
@@ -1,5 +1,5 @@
 import {createFailure} from './create-failure.ts';
-import {localResult} from './local-result.ts';
+import {emptyResult} from './empty-result.ts';
 import type {SessionValues} from './session-values.ts';
 import type {Statement} from './statement.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
@@ -12,7 +12,7 @@
  *
  * @returns Undefined for any other statement.
  */
-export function applyLocalStatement(statement: Statement, setup: SessionValues): StatementOutcome | undefined {
+export function applySetupStatement(statement: Statement, setup: SessionValues): StatementOutcome | undefined {
 	switch (statement.kind) {
 		case 'set': {
 			setup.values.set(statement.name, statement.value);
@@ -36,5 +36,5 @@
 
 	return setup.values.size > setupLimit || setup.prepared.size > setupLimit
 		? createFailure('malformed', `A session holds ${setupLimit} values and prepared statements at most`)
-		: localResult;
+		: emptyResult;
 }
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -5,7 +5,7 @@
 import type {JobAnswer} from './job-answer.ts';
 import type {JobRunner} from './job-runner.ts';
 import type {Job} from './job.ts';
-import {notSent} from './not-sent.ts';
+import {notSentAnswer} from './not-sent-answer.ts';
 import type {PooledLink} from './pooled-link.ts';
 import {runWork} from './run-work.ts';
 
@@ -107,7 +107,7 @@
 		});
 		if (!isReady || !maySend() || now() >= deadline) {
 			pool.release(pooled, isReady);
-			return isReady ? notSent : {kind: 'notSent', reason: 'the connection did not take the session\'s values'};
+			return isReady ? notSentAnswer : {kind: 'notSent', reason: 'the connection did not take the session\'s values'};
 		}
 
 		clock.noteSent();
@@ -168,7 +168,7 @@
 	const commit = async ({transaction, id, text, timeout}: JobOf<'commit'>, maySend: () => boolean): Promise<JobAnswer> => {
 		if (!maySend()) {
 			await rollBack(transaction);
-			return notSent;
+			return notSentAnswer;
 		}
 
 		const pooled = takeTransaction(transaction);
--- a/packages/sessions/create-routed-runner.ts
+++ b/packages/sessions/create-routed-runner.ts
@@ -7,7 +7,7 @@
 import type {JobSpans} from './job-spans.ts';
 import type {Job} from './job.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import {notSent} from './not-sent.ts';
+import {notSentAnswer} from './not-sent-answer.ts';
 import type {RunJob} from './run-job.ts';
 
 type Options = {
@@ -68,7 +68,7 @@
 			}
 
 			if (!maySend()) {
-				return {answer: notSent, runner: local};
+				return {answer: notSentAnswer, runner: local};
 			}
 
 			const run = createGatewayRunner(host);
@@ -103,7 +103,7 @@
 function createPinnedRunner(host: string, run: (job: Job) => Promise<JobAnswer | 'notServed'>): JobRunner {
 	return async (job, maySend) => {
 		if (!maySend()) {
-			return notSent;
+			return notSentAnswer;
 		}
 
 		const answer = await run(job);
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -1,11 +1,11 @@
-import {applyLocalStatement} from './apply-local-statement.ts';
+import {applySetupStatement} from './apply-setup-statement.ts';
 import type {Caller} from './caller.ts';
 import type {ClientRequest} from './client-request.ts';
-import {createBusy} from './create-busy.ts';
+import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
 import {createTransaction} from './create-transaction.ts';
 import {createWork} from './create-work.ts';
-import {localResult} from './local-result.ts';
+import {emptyResult} from './empty-result.ts';
 import type {Operation} from './operation.ts';
 import {runRead} from './run-read.ts';
 import {runWrite} from './run-write.ts';
@@ -56,7 +56,7 @@
 		const {route, workspace} = access;
 		const group = context.findGroup(route.group);
 		if (group === undefined) {
-			return createBusy(`The group ${route.group} is not known yet`, 500);
+			return createBusyFailure(`The group ${route.group} is not known yet`, 500);
 		}
 
 		const arrivedAt = context.now();
@@ -81,7 +81,7 @@
 	/** Ends a failed transaction, as the caller has asked for. */
 	const leaveFailed = (kind: 'commit' | 'rollback'): StatementOutcome => {
 		state = 'idle';
-		return kind === 'rollback' ? localResult : createFailure('aborted', 'The transaction had failed and is rolled back');
+		return kind === 'rollback' ? emptyResult : createFailure('aborted', 'The transaction had failed and is rolled back');
 	};
 
 	/** Prepares a new operation, which counts against the workspace's rate; a refusal if it may not run now. */
@@ -93,7 +93,7 @@
 
 		const {isTaken, retryAfter} = await context.takeOperation(operation.workspace);
 		trace.addSpan('rate', context.now().steady - operation.arrivedAt.steady);
-		return isTaken ? operation : createBusy('The workspace has used up its rate', retryAfter);
+		return isTaken ? operation : createBusyFailure('The workspace has used up its rate', retryAfter);
 	};
 
 	const begin = async (isReadOnly: boolean, trace: StatementTrace): Promise<StatementOutcome> => {
@@ -114,7 +114,7 @@
 			},
 		});
 		state = 'open';
-		return localResult;
+		return emptyResult;
 	};
 
 	const runInTransaction = async (open: Transaction, work: Work, trace: StatementTrace): Promise<StatementOutcome> => {
@@ -180,7 +180,7 @@
 			return reason === undefined ? createFailure('malformed', 'The transaction has failed; end it first') : createFailure('aborted', reason);
 		}
 
-		const local = applyLocalStatement(statement, setup);
+		const local = applySetupStatement(statement, setup);
 		if (local !== undefined) {
 			return local;
 		}
@@ -202,7 +202,7 @@
 				transaction.rollBack();
 				transaction = undefined;
 				state = 'idle';
-				return localResult;
+				return emptyResult;
 			}
 
 			case 'execute':
--- a/packages/sessions/local-result.ts
+++ b/packages/sessions/empty-result.ts
@@ -1,4 +1,4 @@
 import type {StatementOutcome} from './statement-outcome.ts';
 
 /** The result of a statement that the host answers itself. */
-export const localResult: StatementOutcome = {kind: 'done', rows: [], signature: '-'};
+export const emptyResult: StatementOutcome = {kind: 'done', rows: [], signature: '-'};
--- a/packages/sessions/open-transaction.ts
+++ b/packages/sessions/open-transaction.ts
@@ -1,6 +1,6 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {chooseTarget} from './choose-target.ts';
-import {createBusy} from './create-busy.ts';
+import {createBusyFailure} from './create-busy-failure.ts';
 import {createJobBase} from './create-job-base.ts';
 import {describeAnswer} from './describe-answer.ts';
 import {hasLease} from './has-lease.ts';
@@ -30,7 +30,7 @@
 export async function openTransaction(operation: Operation, isReadOnly: boolean): Promise<Opened | {readonly kind: 'failed'; readonly outcome: StatementOutcome}> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
-	let outcome: StatementOutcome = createBusy('No instance can begin the transaction', 100);
+	let outcome: StatementOutcome = createBusyFailure('No instance can begin the transaction', 100);
 	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
 		const left = deadline - context.now().steady;
 		const target = left > 0 ? await chooseTarget(operation, {isReadOnly, tried, left}) : undefined;
@@ -77,5 +77,5 @@
 		instance.noteLag(after);
 	}
 
-	return {kind: 'failed', outcome: createBusy(`Instance ${id} did not begin the transaction: ${describeAnswer(answer)}`, 100)};
+	return {kind: 'failed', outcome: createBusyFailure(`Instance ${id} did not begin the transaction: ${describeAnswer(answer)}`, 100)};
 }
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -1,6 +1,6 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {chooseTarget} from './choose-target.ts';
-import {createBusy} from './create-busy.ts';
+import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
 import {createJobBase} from './create-job-base.ts';
 import {hasLease} from './has-lease.ts';
@@ -21,7 +21,7 @@
 export async function runRead(work: Work, operation: Operation): Promise<StatementOutcome> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
-	let last: StatementOutcome = createBusy('No instance can serve the read', 100);
+	let last: StatementOutcome = createBusyFailure('No instance can serve the read', 100);
 	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
 		const left = deadline - context.now().steady;
 		if (left <= 0) {
@@ -58,7 +58,7 @@
 	}, () => operation.isAllowed() && (epoch === undefined || hasLease(group, epoch)));
 	if (answer.kind === 'notSent') {
 		operation.trace.addStep(`${id}: not sent (${answer.reason})`);
-		return {kind: 'failed', outcome: createBusy(`The read was not sent to instance ${id}: ${answer.reason}`, 100), isFinal: !operation.isAllowed()};
+		return {kind: 'failed', outcome: createBusyFailure(`The read was not sent to instance ${id}: ${answer.reason}`, 100), isFinal: !operation.isAllowed()};
 	}
 
 	if (answer.kind === 'lost') {
@@ -80,6 +80,6 @@
 		instance.noteLag(after);
 	}
 
-	const outcome = hasNotRun(code) ? createBusy(`Instance ${id} answered ${code}`, 100) : answer.outcome;
+	const outcome = hasNotRun(code) ? createBusyFailure(`Instance ${id} answered ${code}`, 100) : answer.outcome;
 	return {kind: 'failed', outcome, isFinal: code === 'malformed' || code === 'timeout'};
 }
--- a/packages/sessions/run-work.ts
+++ b/packages/sessions/run-work.ts
@@ -3,7 +3,7 @@
 import {encodeWork} from './encode-work.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {JobAnswer} from './job-answer.ts';
-import {notSent} from './not-sent.ts';
+import {notSentAnswer} from './not-sent-answer.ts';
 import type {PooledLink} from './pooled-link.ts';
 import type {SessionValues} from './session-values.ts';
 import type {Work} from './work.ts';
@@ -35,5 +35,5 @@
 
 	return maySend()
 		? send(pooled, encodeWork(work, {pooled, setup, after}), timeout)
-		: notSent;
+		: notSentAnswer;
 }
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -1,6 +1,6 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {setTimeout as sleep} from 'node:timers/promises';
-import {createBusy} from './create-busy.ts';
+import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
 import {createJobBase} from './create-job-base.ts';
 import {describeAnswer} from './describe-answer.ts';
@@ -26,7 +26,7 @@
  */
 export async function runWrite(work: Work, operation: Operation): Promise<StatementOutcome> {
 	const {context, group, deadline} = operation;
-	let last: StatementOutcome = createBusy('The write found no primary', 100);
+	let last: StatementOutcome = createBusyFailure('The write found no primary', 100);
 	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
 		const left = deadline - context.now().steady;
 		if (left <= 0) {
@@ -36,7 +36,7 @@
 		const view = await waitForUsefulPrimary(operation, left);
 		if (view.kind !== 'leased') {
 			operation.trace.addStep(`no primary (${view.reason})`);
-			return createBusy(`The group has no primary now (${view.reason})`, view.retryAfter);
+			return createBusyFailure(`The group has no primary now (${view.reason})`, view.retryAfter);
 		}
 
 		const outcome = await tryPrimary(work, operation, view);
@@ -57,7 +57,7 @@
 	const {context, group} = operation;
 	const instance = group.findInstance(id);
 	if (instance === undefined) {
-		return {outcome: createBusy(`The primary ${id} is not listed`, 200), isFinal: false};
+		return {outcome: createBusyFailure(`The primary ${id} is not listed`, 200), isFinal: false};
 	}
 
 	const askedAt = context.now();
@@ -66,7 +66,7 @@
 	}, () => operation.isAllowed() && hasLease(group, epoch));
 	operation.trace.addStep(`${id}: ${describeAnswer(answer)}`);
 	if (answer.kind === 'notSent') {
-		return {outcome: createBusy(`The write was not sent to the primary ${id}: ${answer.reason}`, 100), isFinal: !operation.isAllowed()};
+		return {outcome: createBusyFailure(`The write was not sent to the primary ${id}: ${answer.reason}`, 100), isFinal: !operation.isAllowed()};
 	}
 
 	if (answer.kind === 'lost') {
@@ -77,7 +77,7 @@
 	group.noteAnswer(id, answer, {at: askedAt, epoch});
 	if (answer.outcome.kind === 'failed') {
 		return hasNotRun(answer.outcome.code)
-			? {outcome: createBusy(`The primary ${id} answered ${answer.outcome.code}`, 100), isFinal: false}
+			? {outcome: createBusyFailure(`The primary ${id} answered ${answer.outcome.code}`, 100), isFinal: false}
 			: {outcome: answer.outcome, isFinal: true};
 	}
 
