--- a/packages/hosts/decode-job.ts
+++ b/packages/hosts/decode-job.ts
@@ -55,7 +55,7 @@
 
 function decodeSetup({values, prepared}: RunJobRequest): Parts['setup'] {
 	return {
-		values: new Map(Object.entries(values)),
+		variables: new Map(Object.entries(values)),
 		prepared: new Map(prepared === undefined ? [] : [[prepared.name, {access: findAccess(prepared.isWrite), shape: prepared.shape}]]),
 	};
 }
--- a/packages/hosts/encode-job.test.ts
+++ b/packages/hosts/encode-job.test.ts
@@ -16,11 +16,11 @@
 	caller: fc.record({database: fc.string(), keyDigest: fc.string()}),
 	timeout: fc.double({min: 1, max: 60_000, noNaN: true}),
 };
-const values = fc.array(fc.tuple(fc.string({minLength: 1}), fc.string()), {maxLength: 3}).map(entries => new Map(entries));
+const variables = fc.array(fc.tuple(fc.string({minLength: 1}), fc.string()), {maxLength: 3}).map(entries => new Map(entries));
 const plainWork = fc.record({
 	id: fc.string(), text: fc.string(), access, execute: fc.constant(undefined),
 });
-const plainSetup = fc.record({values, prepared: fc.constant(new Map())});
+const plainSetup = fc.record({variables, prepared: fc.constant(new Map())});
 const after = fc.option(point, {nil: undefined});
 const transaction = fc.nat(2 ** 30);
 const job: fc.Arbitrary<Job> = fc.oneof(
@@ -79,7 +79,7 @@
 			priority: 1,
 			caller: {database: 'd', keyDigest: 'k'},
 			timeout: 5,
-			setup: {values: new Map(), prepared},
+			setup: {variables: new Map(), prepared},
 			work: {
 				id: '1', text: 'EXECUTE s1 a b', access: 'write', execute: {name: 's1', parameters: 'a b'},
 			},
@@ -88,7 +88,7 @@
 			work: {
 				id: '1', text: 'EXECUTE s1 a b', access: 'write', execute: {name: 's1', parameters: 'a b'},
 			},
-			setup: {values: new Map(), prepared: new Map([['s1', {access: 'write', shape: 'q2c'}]])},
+			setup: {variables: new Map(), prepared: new Map([['s1', {access: 'write', shape: 'q2c'}]])},
 		});
 	});
 
--- a/packages/hosts/encode-job.ts
+++ b/packages/hosts/encode-job.ts
@@ -30,7 +30,7 @@
 		case 'begin': {
 			return {
 				kind: job.isReadOnly ? JobKind.BEGIN_READ : JobKind.BEGIN,
-				values: Object.fromEntries(job.setup.values),
+				values: Object.fromEntries(job.setup.variables),
 				idleLimitMs: job.idleLimit,
 				...job.after && {after: job.after},
 			};
@@ -60,7 +60,7 @@
 	const {id, text, access, execute} = work;
 	const prepared = execute && setup.prepared.get(execute.name);
 	return {
-		values: Object.fromEntries(setup.values),
+		values: Object.fromEntries(setup.variables),
 		id,
 		text,
 		isWrite: access === 'write',
--- a/packages/sessions/apply-setup-statement.ts
+++ b/packages/sessions/apply-setup-statement.ts
@@ -1,6 +1,6 @@
 import {createFailure} from './create-failure.ts';
 import {emptyResult} from './empty-result.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {Statement} from './statement.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 
@@ -12,10 +12,10 @@
  *
  * @returns Undefined for any other statement.
  */
-export function applySetupStatement(statement: Statement, setup: SessionValues): StatementOutcome | undefined {
+export function applySetupStatement(statement: Statement, setup: SessionSetup): StatementOutcome | undefined {
 	switch (statement.kind) {
 		case 'set': {
-			setup.values.set(statement.name, statement.value);
+			setup.variables.set(statement.name, statement.value);
 			break;
 		}
 
@@ -34,7 +34,7 @@
 		}
 	}
 
-	return setup.values.size > setupLimit || setup.prepared.size > setupLimit
+	return setup.variables.size > setupLimit || setup.prepared.size > setupLimit
 		? createFailure('malformed', `A session holds ${setupLimit} values and prepared statements at most`)
 		: emptyResult;
 }
--- a/packages/sessions/apply-setup.test.ts
+++ b/packages/sessions/apply-setup.test.ts
@@ -20,7 +20,7 @@
 		const pooled = {values: new Map(), prepared: new Map<string, string>()} as unknown as PooledLink;
 		const startedAt = performance.now();
 		expect(await applySetup(pooled, {
-			setup: {values: new Map(), prepared: new Map([['s', read]])}, prepared: 's', isInTransaction: false, send: async () => answer,
+			setup: {variables: new Map(), prepared: new Map([['s', read]])}, prepared: 's', isInTransaction: false, send: async () => answer,
 		})).to.equal(true);
 		expect(performance.now() - startedAt).to.be.below(soon);
 		expect(pooled.prepared.size).to.equal(1);
@@ -59,7 +59,7 @@
 			const requests: string[] = [];
 			const pooled = {values: new Map(held), prepared: new Map<string, string>()} as unknown as PooledLink;
 			const outcome = await applySetup(pooled, {
-				setup: {values: new Map(wanted), prepared: new Map([['s', read]])},
+				setup: {variables: new Map(wanted), prepared: new Map([['s', read]])},
 				prepared,
 				isInTransaction,
 				async send(request: InstanceRequest) {
--- a/packages/sessions/apply-setup.ts
+++ b/packages/sessions/apply-setup.ts
@@ -1,12 +1,12 @@
 import type {InstanceAnswer} from './instance-answer.ts';
 import type {InstanceRequest} from './instance-request.ts';
 import type {PooledLink} from './pooled-link.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 
-type PreparedStatement = SessionValues['prepared'] extends ReadonlyMap<string, infer Value> ? Value : never;
+type PreparedStatement = SessionSetup['prepared'] extends ReadonlyMap<string, infer Value> ? Value : never;
 
 type Options = {
-	readonly setup: SessionValues;
+	readonly setup: SessionSetup;
 	/** Name of the prepared statement that is to run, if any. */
 	readonly prepared: string | undefined;
 	/** Whether the connection is inside the session's transaction, where it must not be reset. */
@@ -20,7 +20,7 @@
  * @returns Whether the connection now holds just what the session set.
  */
 export async function applySetup(pooled: PooledLink, {setup, prepared, isInTransaction, send}: Options): Promise<boolean> {
-	const isForeign = [...pooled.values.keys()].some(name => !setup.values.has(name));
+	const isForeign = [...pooled.values.keys()].some(name => !setup.variables.has(name));
 	if (isForeign && !isInTransaction) {
 		if (!isDone(await send({kind: 'reset'}))) {
 			return false;
@@ -30,7 +30,7 @@
 		pooled.prepared.clear();
 	}
 
-	const missing = [...setup.values].filter(([name, value]) => pooled.values.get(name) !== value);
+	const missing = [...setup.variables].filter(([name, value]) => pooled.values.get(name) !== value);
 	const answers = await Promise.all(missing.map(async ([name, value]) => send({kind: 'set', name, value})));
 	if (!answers.every(answer => isDone(answer))) {
 		return false;
--- a/packages/sessions/choose-target.ts
+++ b/packages/sessions/choose-target.ts
@@ -15,7 +15,7 @@
 export async function chooseTarget(operation: Operation, {isReadOnly, tried, left}: Options): Promise<Target | undefined> {
 	const {group, route, arrivedAt} = operation;
 	if (isReadOnly && route.freshness !== 'latest') {
-		const required = group.findRequired({maxStaleness: route.maxStaleness, mark: operation.mark(), arrivedAt});
+		const required = group.findRequired({maxStaleness: route.maxStaleness, lastWrite: operation.lastWrite(), arrivedAt});
 		const readers = required === undefined ? [] : group.listReaders(required);
 		const instance = readers.find(reader => !tried.has(reader.listed().id));
 		if (required !== undefined && instance !== undefined) {
--- a/packages/sessions/create-gateway.test.ts
+++ b/packages/sessions/create-gateway.test.ts
@@ -7,7 +7,7 @@
 import type {Route} from './route.ts';
 
 const base = {
-	workspace: 'upper', priority: 1, caller: {database: 'ponds', keyDigest: ''}, timeout: 500, setup: {values: new Map(), prepared: new Map()},
+	workspace: 'upper', priority: 1, caller: {database: 'ponds', keyDigest: ''}, timeout: 500, setup: {variables: new Map(), prepared: new Map()},
 };
 const work = {
 	id: '1', text: 'READ a', access: 'read', execute: undefined,
--- a/packages/sessions/create-routed-runner.test.ts
+++ b/packages/sessions/create-routed-runner.test.ts
@@ -13,7 +13,7 @@
 	priority: 1,
 	caller: {database: 'ponds', keyDigest: ''},
 	timeout: 500,
-	setup: {values: new Map(), prepared: new Map()},
+	setup: {variables: new Map(), prepared: new Map()},
 	work: {
 		id: '1', text: 'WRITE a b', access: 'write', execute: undefined,
 	},
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -10,9 +10,9 @@
 import {runRead} from './run-read.ts';
 import {runWrite} from './run-write.ts';
 import type {SessionContext} from './session-context.ts';
-import type {SessionMark} from './session-mark.ts';
+import type {LastWrite} from './last-write.ts';
 import type {SessionState} from './session-state.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {StatementTrace} from './statement-trace.ts';
 import type {Transaction} from './transaction.ts';
@@ -36,10 +36,10 @@
 
 /** Creates what runs the statements of a session: single ones, and those of its transactions. */
 export function createStatementRunner({context, findCaller}: Options): StatementRunner {
-	const setup: SessionValues = {values: new Map(), prepared: new Map()};
+	const setup: SessionSetup = {variables: new Map(), prepared: new Map()};
 	let transaction: Transaction | undefined;
 	let state: SessionState = 'idle';
-	let mark: SessionMark | undefined;
+	let lastWrite: LastWrite | undefined;
 
 	/** Prepares the running of a statement; refuses it if the caller may not use the database now. */
 	const createOperation = (trace: StatementTrace): Operation | StatementOutcome => {
@@ -70,9 +70,9 @@
 			arrivedAt,
 			deadline: arrivedAt.steady + route.statementTimeout,
 			isAllowed: () => context.findAccess(caller).kind === 'allowed',
-			mark: () => mark,
-			setMark(newer) {
-				mark = newer;
+			lastWrite: () => lastWrite,
+			setLastWrite(newer) {
+				lastWrite = newer;
 			},
 			trace,
 		};
--- a/packages/sessions/create-transaction.ts
+++ b/packages/sessions/create-transaction.ts
@@ -156,7 +156,7 @@
 			}
 
 			operation.group.noteAnswer(instance.listed().id, answer, {at: askedAt, epoch});
-			operation.setMark({epoch, position: answer.position});
+			operation.setLastWrite({epoch, position: answer.position});
 			return answer.outcome;
 		},
 		rollBack() {
--- a/packages/sessions/create-work.ts
+++ b/packages/sessions/create-work.ts
@@ -1,9 +1,9 @@
 import type {ClientRequest} from './client-request.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {Work} from './work.ts';
 
 /** Creates the work of a read, a write, or a prepared statement; undefined for a name that was not prepared. */
-export function createWork({statement, id, text}: Extract<ClientRequest, {readonly kind: 'statement'}>, setup: SessionValues): Work | undefined {
+export function createWork({statement, id, text}: Extract<ClientRequest, {readonly kind: 'statement'}>, setup: SessionSetup): Work | undefined {
 	if (statement.kind === 'execute') {
 		const access = setup.prepared.get(statement.name)?.access;
 		return access && {
--- a/packages/sessions/find-required-position.ts
+++ b/packages/sessions/find-required-position.ts
@@ -2,7 +2,7 @@
 import {findElapsed} from './find-elapsed.ts';
 import type {Instant} from './instant.ts';
 import type {PositionSample} from './position-sample.ts';
-import type {SessionMark} from './session-mark.ts';
+import type {LastWrite} from './last-write.ts';
 
 type Read = {
 	readonly samples: readonly PositionSample[];
@@ -11,7 +11,7 @@
 	/** Milliseconds; age that the read may have. */
 	readonly maxStaleness: number;
 	/** Last write that the session must see. */
-	readonly mark: SessionMark | undefined;
+	readonly lastWrite: LastWrite | undefined;
 	/** When the read arrived. */
 	readonly arrivedAt: Instant;
 };
@@ -27,18 +27,18 @@
  *
  * @returns Undefined when no sample is young enough.
  */
-export function findRequiredPosition({samples, epoch, maxStaleness, mark, arrivedAt}: Read): LogPoint | undefined {
-	if (mark !== undefined && mark.epoch !== epoch) {
+export function findRequiredPosition({samples, epoch, maxStaleness, lastWrite, arrivedAt}: Read): LogPoint | undefined {
+	if (lastWrite !== undefined && lastWrite.epoch !== epoch) {
 		const newest = samples.at(-1);
 		return newest !== undefined && isYoung(newest, maxStaleness, arrivedAt) ? newest.position : undefined;
 	}
 
 	const oldest = samples.find(sample => isYoung(sample, maxStaleness, arrivedAt));
-	if (oldest === undefined || mark === undefined) {
+	if (oldest === undefined || lastWrite === undefined) {
 		return oldest?.position;
 	}
 
-	return comparePoints(mark.position, oldest.position) > 0 ? mark.position : oldest.position;
+	return comparePoints(lastWrite.position, oldest.position) > 0 ? lastWrite.position : oldest.position;
 }
 
 function isYoung(sample: PositionSample, maxStaleness: number, arrivedAt: Instant): boolean {
--- a/packages/sessions/job.ts
+++ b/packages/sessions/job.ts
@@ -1,6 +1,6 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 import type {Caller} from './caller.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {Work} from './work.ts';
 
 /** On whose behalf a job runs, and for how long. */
@@ -20,16 +20,16 @@
  * the beginning of the transaction was answered with.
  */
 export type Job =
-	| JobBase & {readonly kind: 'single'; readonly setup: SessionValues; readonly work: Work; readonly after: LogPoint | undefined}
+	| JobBase & {readonly kind: 'single'; readonly setup: SessionSetup; readonly work: Work; readonly after: LogPoint | undefined}
 	| JobBase & {
 		readonly kind: 'begin';
-		readonly setup: SessionValues;
+		readonly setup: SessionSetup;
 		readonly isReadOnly: boolean;
 		readonly after: LogPoint | undefined;
 		/** Milliseconds for which the transaction may stand idle. */
 		readonly idleLimit: number;
 	}
-	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionValues; readonly work: Work}
+	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionSetup; readonly work: Work}
 	| JobBase & {readonly kind: 'commit'; readonly transaction: number; readonly id: string; readonly text: string}
 	| {readonly kind: 'rollback'; readonly transaction: number}
 	/** Asks for the end of the instance's log, without taking a slot. */
--- a/packages/sessions/operation.ts
+++ b/packages/sessions/operation.ts
@@ -2,9 +2,9 @@
 import type {Instant} from './instant.ts';
 import type {Route} from './route.ts';
 import type {SessionContext} from './session-context.ts';
-import type {SessionMark} from './session-mark.ts';
+import type {LastWrite} from './last-write.ts';
 import type {SessionGroup} from './session-group.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {StatementTrace} from './statement-trace.ts';
 
 /** A single statement or a transaction under way. */
@@ -14,14 +14,14 @@
 	readonly route: Route;
 	readonly workspace: string;
 	readonly caller: Caller;
-	readonly setup: SessionValues;
+	readonly setup: SessionSetup;
 	/** When the statement, or the beginning of the transaction, arrived. */
 	readonly arrivedAt: Instant;
 	/** Steady milliseconds at which the present statement must be answered. */
 	readonly deadline: number;
 	/** Whether the caller's key still holds; asked before each send. */
 	readonly isAllowed: () => boolean;
-	readonly mark: () => SessionMark | undefined;
-	readonly setMark: (mark: SessionMark) => void;
+	readonly lastWrite: () => LastWrite | undefined;
+	readonly setLastWrite: (lastWrite: LastWrite) => void;
 	readonly trace: StatementTrace;
 };
--- a/packages/sessions/run-work.ts
+++ b/packages/sessions/run-work.ts
@@ -5,12 +5,12 @@
 import type {JobAnswer} from './job-answer.ts';
 import {notSentAnswer} from './not-sent-answer.ts';
 import type {PooledLink} from './pooled-link.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {Work} from './work.ts';
 
 type Options = {
 	readonly send: InstanceRuntime['send'];
-	readonly setup: SessionValues;
+	readonly setup: SessionSetup;
 	readonly work: Work;
 	readonly after: LogPoint | undefined;
 	readonly isInTransaction: boolean;
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -85,6 +85,6 @@
 		return {outcome: createFailure('unknown', 'The primary was replaced while the write ran'), isFinal: true};
 	}
 
-	operation.setMark({epoch, position: answer.position});
+	operation.setLastWrite({epoch, position: answer.position});
 	return {outcome: answer.outcome, isFinal: true};
 }
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -6,7 +6,7 @@
 import type {ListedInstance} from './listed-instance.ts';
 import type {PositionOfAge} from './position-of-age.ts';
 import type {PrimaryView} from './primary-view.ts';
-import type {SessionMark} from './session-mark.ts';
+import type {LastWrite} from './last-write.ts';
 import type {Versioned} from './versioned.ts';
 
 /** A group of instances as a host uses it. */
@@ -29,7 +29,7 @@
 	readonly findInstance: (id: string) => InstanceRuntime | undefined;
 	readonly listInstances: () => readonly InstanceRuntime[];
 	/** Position that a log must hold for a read; undefined when only the primary can tell. */
-	readonly findRequired: (read: {readonly maxStaleness: number; readonly mark: SessionMark | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
+	readonly findRequired: (read: {readonly maxStaleness: number; readonly lastWrite: LastWrite | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
 	/** Instances that may serve a read, best first. */
 	readonly listReaders: (required: LogPoint) => readonly InstanceRuntime[];
 	/** Takes note of the position in an answer of the primary. */
--- a/packages/sessions/session-values.ts
+++ b/packages/sessions/session-setup.ts
@@ -1,7 +1,7 @@
 import type {Statement} from './statement.ts';
 
 /** What a session has set up, which holds on whatever connection its statements run. */
-export type SessionValues = {
-	readonly values: Map<string, string>;
+export type SessionSetup = {
+	readonly variables: Map<string, string>;
 	readonly prepared: Map<string, Extract<Statement, {readonly kind: 'prepare'}>['prepared']>;
 };
