--- a/packages/hosts/decode-job.ts
+++ b/packages/hosts/decode-job.ts
@@ -51,7 +51,7 @@
 	}
 }
 
-type Parts = Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'work'>;
+type Parts = Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>;
 
 function decodeSetup({values, prepared}: RunJobRequest): Parts['setup'] {
 	return {
@@ -64,12 +64,12 @@
 	const {id, text, isWrite, prepared, parameters} = message;
 	return {
 		setup: decodeSetup(message),
-		work: {
+		query: {
 			id, text, access: findAccess(isWrite), execute: prepared && {name: prepared.name, parameters},
 		},
 	};
 }
 
-function findAccess(isWrite: boolean): Parts['work']['access'] {
+function findAccess(isWrite: boolean): Parts['query']['access'] {
 	return isWrite ? 'write' : 'read';
 }
--- a/packages/hosts/encode-job.test.ts
+++ b/packages/hosts/encode-job.test.ts
@@ -25,13 +25,13 @@
 const transaction = fc.nat(2 ** 30);
 const job: fc.Arbitrary<Job> = fc.oneof(
 	fc.record({
-		...base, kind: fc.constant('single' as const), setup: plainSetup, work: plainWork, after,
+		...base, kind: fc.constant('single' as const), setup: plainSetup, query: plainWork, after,
 	}),
 	fc.record({
 		...base, kind: fc.constant('begin' as const), setup: plainSetup, isReadOnly: fc.boolean(), after, idleLimit: fc.nat(60_000),
 	}),
 	fc.record({
-		...base, kind: fc.constant('within' as const), transaction, setup: plainSetup, work: plainWork,
+		...base, kind: fc.constant('within' as const), transaction, setup: plainSetup, query: plainWork,
 	}),
 	fc.record({
 		...base, kind: fc.constant('commit' as const), transaction, id: fc.string(), text: fc.string(),
@@ -80,12 +80,12 @@
 			caller: {database: 'd', keyDigest: 'k'},
 			timeout: 5,
 			setup: {variables: new Map(), prepared},
-			work: {
+			query: {
 				id: '1', text: 'EXECUTE s1 a b', access: 'write', execute: {name: 's1', parameters: 'a b'},
 			},
 		});
 		expect(sent).to.deep.include({
-			work: {
+			query: {
 				id: '1', text: 'EXECUTE s1 a b', access: 'write', execute: {name: 's1', parameters: 'a b'},
 			},
 			setup: {variables: new Map(), prepared: new Map([['s1', {access: 'write', shape: 'q2c'}]])},
--- a/packages/hosts/encode-job.ts
+++ b/packages/hosts/encode-job.ts
@@ -56,8 +56,8 @@
 	}
 }
 
-function encodeWork({setup, work}: Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'work'>): Message {
-	const {id, text, access, execute} = work;
+function encodeWork({setup, query}: Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>): Message {
+	const {id, text, access, execute} = query;
 	const prepared = execute && setup.prepared.get(execute.name);
 	return {
 		values: Object.fromEntries(setup.variables),
--- a/packages/sessions/create-gateway.test.ts
+++ b/packages/sessions/create-gateway.test.ts
@@ -13,13 +13,13 @@
 	id: '1', text: 'READ a', access: 'read', execute: undefined,
 } as const;
 const single: Job = {
-	...base, kind: 'single', work, after: undefined,
+	...base, kind: 'single', query: work, after: undefined,
 };
 const begin: Job = {
 	...base, kind: 'begin', isReadOnly: false, after: undefined, idleLimit: 1000,
 };
 const within: Job = {
-	...base, kind: 'within', transaction: 5, work,
+	...base, kind: 'within', transaction: 5, query: work,
 };
 const done: JobAnswer = {
 	kind: 'answered', outcome: {kind: 'done', rows: [], signature: '7'}, state: 'idle', position: undefined,
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -7,7 +7,7 @@
 import type {Job} from './job.ts';
 import {notSentAnswer} from './not-sent-answer.ts';
 import type {PooledLink} from './pooled-link.ts';
-import {runWork} from './run-work.ts';
+import {runQuery} from './run-query.ts';
 
 type Options = {
 	readonly pool: InstancePool;
@@ -76,14 +76,14 @@
 
 		const left = Math.max(1, deadline - now());
 		const patience = Math.max(readPatience.least, readPatience.times * latency());
-		const {setup, work, after} = job;
-		const answer = await runWork(pooled, {
+		const {setup, query, after} = job;
+		const answer = await runQuery(pooled, {
 			send,
 			setup,
-			work,
+			query,
 			after,
 			isInTransaction: false,
-			timeout: work.access === 'read' ? Math.min(patience, left) : left,
+			timeout: query.access === 'read' ? Math.min(patience, left) : left,
 			maySend() {
 				clock.noteSent();
 				return maySend() && now() < deadline;
@@ -141,7 +141,7 @@
 		return open?.pooled;
 	};
 
-	const runWithin = async ({transaction, setup, work, timeout}: JobOf<'within'>, maySend: () => boolean): Promise<JobAnswer> => {
+	const runWithin = async ({transaction, setup, query, timeout}: JobOf<'within'>, maySend: () => boolean): Promise<JobAnswer> => {
 		const open = transactions.get(transaction);
 		if (open === undefined) {
 			return {kind: 'notSent', reason: 'the transaction is not open any more'};
@@ -149,10 +149,10 @@
 
 		clearTimeout(open.idleTimer);
 		const clock = createJobClock(now);
-		const answer = await runWork(open.pooled, {
+		const answer = await runQuery(open.pooled, {
 			send,
 			setup,
-			work,
+			query,
 			after: undefined,
 			isInTransaction: true,
 			timeout,
--- a/packages/sessions/create-work.ts
+++ b/packages/sessions/create-query.ts
@@ -1,9 +1,9 @@
 import type {ClientRequest} from './client-request.ts';
 import type {SessionSetup} from './session-setup.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 /** Creates the work of a read, a write, or a prepared statement; undefined for a name that was not prepared. */
-export function createWork({statement, id, text}: Extract<ClientRequest, {readonly kind: 'statement'}>, setup: SessionSetup): Work | undefined {
+export function createQuery({statement, id, text}: Extract<ClientRequest, {readonly kind: 'statement'}>, setup: SessionSetup): Query | undefined {
 	if (statement.kind === 'execute') {
 		const access = setup.prepared.get(statement.name)?.access;
 		return access && {
--- a/packages/sessions/create-routed-runner.test.ts
+++ b/packages/sessions/create-routed-runner.test.ts
@@ -14,7 +14,7 @@
 	caller: {database: 'ponds', keyDigest: ''},
 	timeout: 500,
 	setup: {variables: new Map(), prepared: new Map()},
-	work: {
+	query: {
 		id: '1', text: 'WRITE a b', access: 'write', execute: undefined,
 	},
 	after: undefined,
@@ -22,7 +22,7 @@
 
 const read: Job = {
 	...job,
-	work: {
+	query: {
 		id: '1', text: 'READ a', access: 'read', execute: undefined,
 	},
 };
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -4,7 +4,7 @@
 import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
 import {createTransaction} from './create-transaction.ts';
-import {createWork} from './create-work.ts';
+import {createQuery} from './create-query.ts';
 import {emptyResult} from './empty-result.ts';
 import type {Operation} from './operation.ts';
 import {runRead} from './run-read.ts';
@@ -16,7 +16,7 @@
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {StatementTrace} from './statement-trace.ts';
 import type {Transaction} from './transaction.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 type Options = {
 	readonly context: SessionContext;
@@ -117,9 +117,9 @@
 		return emptyResult;
 	};
 
-	const runInTransaction = async (open: Transaction, work: Work, trace: StatementTrace): Promise<StatementOutcome> => {
+	const runInTransaction = async (open: Transaction, query: Query, trace: StatementTrace): Promise<StatementOutcome> => {
 		const operation = createOperation(trace);
-		const outcome = 'group' in operation ? await open.run(work, operation) : operation;
+		const outcome = 'group' in operation ? await open.run(query, operation) : operation;
 		if (outcome.kind === 'failed') {
 			open.rollBack();
 			state = 'failed';
@@ -139,8 +139,8 @@
 		}
 	};
 
-	const runSingle = async (work: Work, trace: StatementTrace): Promise<StatementOutcome> => {
-		if (work.access === 'write') {
+	const runSingle = async (query: Query, trace: StatementTrace): Promise<StatementOutcome> => {
+		if (query.access === 'write') {
 			reachPrimary();
 		}
 
@@ -149,7 +149,7 @@
 			return operation;
 		}
 
-		return work.access === 'read' ? runRead(work, operation) : runWrite(work, operation);
+		return query.access === 'read' ? runRead(query, operation) : runWrite(query, operation);
 	};
 
 	const commit = async (open: Transaction, {id, text}: StatementRequest, trace: StatementTrace): Promise<StatementOutcome> => {
@@ -208,12 +208,12 @@
 			case 'execute':
 			case 'read':
 			case 'write': {
-				const work = createWork(request, setup);
-				if (work === undefined) {
+				const query = createQuery(request, setup);
+				if (query === undefined) {
 					return createFailure('unknownStatement', 'No statement of this name is prepared');
 				}
 
-				return transaction === undefined ? runSingle(work, trace) : runInTransaction(transaction, work, trace);
+				return transaction === undefined ? runSingle(query, trace) : runInTransaction(transaction, query, trace);
 			}
 
 			default: {
--- a/packages/sessions/create-transaction.ts
+++ b/packages/sessions/create-transaction.ts
@@ -89,17 +89,17 @@
 	};
 
 	return {
-		async run(work, operation) {
+		async run(query, operation) {
 			clearTimeout(idleTimer);
 			const failure = await ensureOpened(operation);
 			if (failure !== undefined || opened === undefined) {
 				return failure ?? createFailure('aborted', 'The transaction is over');
 			}
 
-			hasWritten ||= work.access === 'write';
+			hasWritten ||= query.access === 'write';
 			const {instance, runner, transaction} = opened;
 			const answer = await runner({
-				...createJobBase(operation), kind: 'within', transaction, setup: operation.setup, work,
+				...createJobBase(operation), kind: 'within', transaction, setup: operation.setup, query,
 			}, () => operation.isAllowed() && !isOver && (isReadOnly || isLeased(operation)));
 			operation.trace.addStep(`${instance.listed().id}: ${describeAnswer(answer)}`);
 			if (answer.kind === 'answered') {
--- a/packages/sessions/encode-work.ts
+++ b/packages/sessions/encode-query.ts
@@ -2,11 +2,11 @@
 import type {InstanceRequest} from './instance-request.ts';
 import type {PooledLink} from './pooled-link.ts';
 import type {SessionSetup} from './session-setup.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
-/** Encodes work for a connection; a prepared statement goes by the name that it has there. */
-export function encodeWork(work: Work, {pooled, setup, after}: {readonly pooled: PooledLink; readonly setup: SessionSetup; readonly after: LogPoint | undefined}): InstanceRequest {
-	const {id, text, execute} = work;
+/** Encodes query for a connection; a prepared statement goes by the name that it has there. */
+export function encodeQuery(query: Query, {pooled, setup, after}: {readonly pooled: PooledLink; readonly setup: SessionSetup; readonly after: LogPoint | undefined}): InstanceRequest {
+	const {id, text, execute} = query;
 	const statement = execute && setup.prepared.get(execute.name);
 	const name = statement && pooled.prepared.get(`${statement.access} ${statement.shape}`);
 	return execute === undefined || name === undefined
--- a/packages/sessions/job.ts
+++ b/packages/sessions/job.ts
@@ -1,7 +1,7 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 import type {Caller} from './caller.ts';
 import type {SessionSetup} from './session-setup.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 /** On whose behalf a job runs, and for how long. */
 type JobBase = {
@@ -20,7 +20,7 @@
  * the beginning of the transaction was answered with.
  */
 export type Job =
-	| JobBase & {readonly kind: 'single'; readonly setup: SessionSetup; readonly work: Work; readonly after: LogPoint | undefined}
+	| JobBase & {readonly kind: 'single'; readonly setup: SessionSetup; readonly query: Query; readonly after: LogPoint | undefined}
 	| JobBase & {
 		readonly kind: 'begin';
 		readonly setup: SessionSetup;
@@ -29,7 +29,7 @@
 		/** Milliseconds for which the transaction may stand idle. */
 		readonly idleLimit: number;
 	}
-	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionSetup; readonly work: Work}
+	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionSetup; readonly query: Query}
 	| JobBase & {readonly kind: 'commit'; readonly transaction: number; readonly id: string; readonly text: string}
 	| {readonly kind: 'rollback'; readonly transaction: number}
 	/** Asks for the end of the instance's log, without taking a slot. */
--- a/packages/sessions/work.ts
+++ b/packages/sessions/query.ts
@@ -1,5 +1,5 @@
 /** A read or write of a caller, to be run on an instance. */
-export type Work = {
+export type Query = {
 	readonly id: string;
 	readonly text: string;
 	readonly access: 'read' | 'write';
--- a/packages/sessions/run-work.ts
+++ b/packages/sessions/run-query.ts
@@ -1,32 +1,32 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 import {applySetup} from './apply-setup.ts';
-import {encodeWork} from './encode-work.ts';
+import {encodeQuery} from './encode-query.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {JobAnswer} from './job-answer.ts';
 import {notSentAnswer} from './not-sent-answer.ts';
 import type {PooledLink} from './pooled-link.ts';
 import type {SessionSetup} from './session-setup.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 type Options = {
 	readonly send: InstanceRuntime['send'];
 	readonly setup: SessionSetup;
-	readonly work: Work;
+	readonly query: Query;
 	readonly after: LogPoint | undefined;
 	readonly isInTransaction: boolean;
 	/** Milliseconds. */
 	readonly timeout: number;
-	/** Asked just before the work is sent. */
+	/** Asked just before the query is sent. */
 	readonly maySend: () => boolean;
 };
 
-/** Runs work on a connection, after bringing that to the session's values. */
-export async function runWork(pooled: PooledLink, options: Options): Promise<JobAnswer> {
+/** Runs query on a connection, after bringing that to the session's values. */
+export async function runQuery(pooled: PooledLink, options: Options): Promise<JobAnswer> {
 	const {
-		send, setup, work, after, isInTransaction, timeout, maySend,
+		send, setup, query, after, isInTransaction, timeout, maySend,
 	} = options;
 	const isReady = await applySetup(pooled, {
-		setup, prepared: work.execute?.name, isInTransaction, send: async request => send(pooled, request, timeout),
+		setup, prepared: query.execute?.name, isInTransaction, send: async request => send(pooled, request, timeout),
 	});
 	if (!isReady) {
 		pooled.link.close();
@@ -34,6 +34,6 @@
 	}
 
 	return maySend()
-		? send(pooled, encodeWork(work, {pooled, setup, after}), timeout)
+		? send(pooled, encodeQuery(query, {pooled, setup, after}), timeout)
 		: notSentAnswer;
 }
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -8,7 +8,7 @@
 import type {Operation} from './operation.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {Target} from './target.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 /** Times that a read is tried on instances at most. */
 const attemptsLimit = 6;
@@ -18,7 +18,7 @@
  *
  * A read that did not run, or whose answer was lost, is run again elsewhere.
  */
-export async function runRead(work: Work, operation: Operation): Promise<StatementOutcome> {
+export async function runRead(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
 	let last: StatementOutcome = createBusyFailure('No instance can serve the read', 100);
@@ -34,7 +34,7 @@
 		}
 
 		tried.add(target.instance.listed().id);
-		const outcome = await tryTarget(work, operation, target);
+		const outcome = await tryTarget(query, operation, target);
 		if (outcome.kind === 'done' || outcome.isFinal) {
 			return outcome.outcome;
 		}
@@ -49,12 +49,12 @@
 	| {readonly kind: 'done'; readonly outcome: StatementOutcome}
 	| {readonly kind: 'failed'; readonly outcome: StatementOutcome; readonly isFinal: boolean};
 
-async function tryTarget(work: Work, operation: Operation, {instance, after, epoch}: Target): Promise<Tried> {
+async function tryTarget(query: Query, operation: Operation, {instance, after, epoch}: Target): Promise<Tried> {
 	const {context, group} = operation;
 	const {id} = instance.listed();
 	const askedAt = context.now();
 	const {answer} = await instance.run({
-		...createJobBase(operation), kind: 'single', setup: operation.setup, work, after,
+		...createJobBase(operation), kind: 'single', setup: operation.setup, query, after,
 	}, () => operation.isAllowed() && (epoch === undefined || hasLease(group, epoch)));
 	if (answer.kind === 'notSent') {
 		operation.trace.addStep(`${id}: not sent (${answer.reason})`);
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -10,7 +10,7 @@
 import type {PrimaryView} from './primary-view.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 import {waitForUsefulPrimary} from './wait-for-useful-primary.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 /** Milliseconds between two tries of a write that did not run. */
 const retryDelay = 40;
@@ -24,7 +24,7 @@
  * It is sent once at the most, unless the instance says that it did not run. Success is passed on only while
  * the lease still holds: a primary that was replaced meanwhile may lose the write.
  */
-export async function runWrite(work: Work, operation: Operation): Promise<StatementOutcome> {
+export async function runWrite(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, group, deadline} = operation;
 	let last: StatementOutcome = createBusyFailure('The write found no primary', 100);
 	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
@@ -39,7 +39,7 @@
 			return createBusyFailure(`The group has no primary now (${view.reason})`, view.retryAfter);
 		}
 
-		const outcome = await tryPrimary(work, operation, view);
+		const outcome = await tryPrimary(query, operation, view);
 		if (outcome.isFinal) {
 			return outcome.outcome;
 		}
@@ -53,7 +53,7 @@
 
 type Tried = {readonly outcome: StatementOutcome; readonly isFinal: boolean};
 
-async function tryPrimary(work: Work, operation: Operation, {instance: id, epoch}: PrimaryView & {readonly kind: 'leased'}): Promise<Tried> {
+async function tryPrimary(query: Query, operation: Operation, {instance: id, epoch}: PrimaryView & {readonly kind: 'leased'}): Promise<Tried> {
 	const {context, group} = operation;
 	const instance = group.findInstance(id);
 	if (instance === undefined) {
@@ -62,7 +62,7 @@
 
 	const askedAt = context.now();
 	const {answer} = await instance.run({
-		...createJobBase(operation), kind: 'single', setup: operation.setup, work, after: undefined,
+		...createJobBase(operation), kind: 'single', setup: operation.setup, query, after: undefined,
 	}, () => operation.isAllowed() && hasLease(group, epoch));
 	operation.trace.addStep(`${id}: ${describeAnswer(answer)}`);
 	if (answer.kind === 'notSent') {
--- a/packages/sessions/transaction.ts
+++ b/packages/sessions/transaction.ts
@@ -1,11 +1,11 @@
 import type {Operation} from './operation.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 /** A transaction of a session; its connection is its own until it ends. */
 export type Transaction = {
 	/** Runs a read or write; after a failure the transaction is over. */
-	readonly run: (work: Work, operation: Operation) => Promise<StatementOutcome>;
+	readonly run: (query: Query, operation: Operation) => Promise<StatementOutcome>;
 	readonly commit: (commit: {readonly id: string; readonly text: string}, operation: Operation) => Promise<StatementOutcome>;
 	/** Rolls back and gives the connection back, without waiting. */
 	readonly rollBack: () => void;
