--- a/packages/sessions/add-sample.ts
+++ b/packages/sessions/add-position-sample.ts
@@ -7,14 +7,14 @@
 const samplesKept = 40;
 
 /** Adds a sample to the samples of a group, oldest first. */
-export function addSample(samples: readonly PositionSample[], added: PositionSample): readonly PositionSample[] {
+export function addPositionSample(samples: readonly PositionSample[], added: PositionSample): readonly PositionSample[] {
 	const before = samples.at(-2);
 	const last = samples.at(-1);
-	if (last !== undefined && added.askedAt.steady <= last.askedAt.steady) {
+	if (last !== undefined && added.requestedAt.steady <= last.requestedAt.steady) {
 		return samples;
 	}
 
-	const isClose = before !== undefined && last !== undefined && last.askedAt.steady - before.askedAt.steady < sampleSpacing;
+	const isClose = before !== undefined && last !== undefined && last.requestedAt.steady - before.requestedAt.steady < sampleSpacing;
 	const kept = isClose ? samples.slice(0, -1) : samples;
 	return [...kept, added].slice(-samplesKept);
 }
--- a/packages/sessions/admit-line.test.ts
+++ b/packages/sessions/admit-log-line.test.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
-import {admitLine} from './admit-line.ts';
-import type {LineBudget} from './line-budget.ts';
+import {admitLogLine} from './admit-log-line.ts';
+import type {LogLineBudget} from './log-line-budget.ts';
 
-describe('admitLine', () => {
-	const fresh: LineBudget = {startedAt: 0, written: 0, dropped: 0};
+describe('admitLogLine', () => {
+	const fresh: LogLineBudget = {startedAt: 0, written: 0, dropped: 0};
 	const cases = [
 		{
 			name: 'writes an ordinary line', budget: fresh, line: {isOrdinary: true, isBlocked: false, now: 10}, expected: {isWritten: true, written: 1, dropped: 0},
@@ -26,7 +26,7 @@
 	];
 	for (const {name, budget, line, expected} of cases) {
 		it(name, () => {
-			const outcome = admitLine(budget, line);
+			const outcome = admitLogLine(budget, line);
 			expect({isWritten: outcome.isWritten, written: outcome.budget.written, dropped: outcome.budget.dropped}).to.deep.equal(expected);
 		});
 	}
--- a/packages/sessions/admit-line.ts
+++ b/packages/sessions/admit-log-line.ts
@@ -1,4 +1,4 @@
-import type {LineBudget} from './line-budget.ts';
+import type {LogLineBudget} from './log-line-budget.ts';
 
 type Line = {
 	/** Ordinary lines are left out first. */
@@ -16,7 +16,7 @@
 const span = 1000;
 
 /** Decides whether a log line is written, so that logs stay bounded under load and never hold the process up. */
-export function admitLine(budget: LineBudget, {isOrdinary, isBlocked, now}: Line): {readonly budget: LineBudget; readonly isWritten: boolean} {
+export function admitLogLine(budget: LogLineBudget, {isOrdinary, isBlocked, now}: Line): {readonly budget: LogLineBudget; readonly isWritten: boolean} {
 	const present = now - budget.startedAt < span ? budget : {...budget, startedAt: now, written: 0};
 	const limit = isOrdinary ? limits.ordinary : limits.all;
 	const isWritten = !isBlocked && present.written < limit;
--- a/packages/sessions/create-routed-runner.ts
+++ b/packages/sessions/create-routed-runner.ts
@@ -1,14 +1,14 @@
 /* eslint-disable no-await-in-loop -- one host is tried after the other */
 import type {applyObservation} from './apply-observation.ts';
 import type {Gateways} from './gateways.ts';
-import {isRepeatable} from './is-repeatable.ts';
+import {isRetryable} from './is-retryable.ts';
 import type {JobAnswer} from './job-answer.ts';
 import type {JobRunner} from './job-runner.ts';
 import type {JobSpans} from './job-spans.ts';
 import type {Job} from './job.ts';
 import type {ListedInstance} from './listed-instance.ts';
 import {notSentAnswer} from './not-sent-answer.ts';
-import type {RunJob} from './run-job.ts';
+import type {DispatchJob} from './dispatch-job.ts';
 
 type Options = {
 	readonly listed: () => ListedInstance;
@@ -26,7 +26,7 @@
  * A gateway that takes no work, or cannot be reached, is passed over. One that was given a job which must not run again,
  * and does not answer, may have run it, so the answer is then lost.
  */
-export function createRoutedRunner({listed, local, gateways, note, now}: Options): RunJob {
+export function createRoutedRunner({listed, local, gateways, note, now}: Options): DispatchJob {
 	const createGatewayRunner = (host: string): ((job: Job) => Promise<JobAnswer | 'notServed'>) => async job => {
 		const sentAt = now();
 		const answer = await gateways.runJob(host, listed(), job);
@@ -61,7 +61,7 @@
 			}
 
 			// Work that may run again elsewhere goes out with the question whether the host is there; a write after the answer.
-			const mayRepeat = isRepeatable(job);
+			const mayRepeat = isRetryable(job);
 			const answering = gateways.isAnswering(host, {isRepeatable: mayRepeat});
 			if (!mayRepeat && !await answering) {
 				continue;
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -1,5 +1,5 @@
 import type {LogPoint} from '@sapphirefall/decisions';
-import {addSample} from './add-sample.ts';
+import {addPositionSample} from './add-position-sample.ts';
 import {createInstanceRuntime} from './create-instance-runtime.ts';
 import {findElapsed} from './find-elapsed.ts';
 import {findPrimary} from './find-primary.ts';
@@ -8,7 +8,7 @@
 import type {GroupRow} from './group-row.ts';
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {Instant} from './instant.ts';
-import {isSampleDue} from './is-sample-due.ts';
+import {isPositionSampleDue} from './is-position-sample-due.ts';
 import type {OpenLink} from './open-link.ts';
 import type {PositionSample} from './position-sample.ts';
 import type {PrimaryView} from './primary-view.ts';
@@ -142,7 +142,7 @@
 				const {id, zone: instanceZone} = instance.listed();
 				return {
 					id,
-					isLocal: instanceZone === zone,
+					isSameZone: instanceZone === zone,
 					isPrimary: id === row?.primary,
 					health: instance.health(),
 					load: (busy + waiting) / Math.max(1, limit),
@@ -156,7 +156,7 @@
 	const noteAnswer: SessionGroup['noteAnswer'] = (instance, answer, asked) => {
 		const isSample = answer.kind === 'answered' && instance === row?.primary && asked.epoch === row.epoch && row.state === 'serving';
 		if (isSample && answer.position !== undefined) {
-			samples = addSample(samples, {askedAt: asked.at, position: answer.position});
+			samples = addPositionSample(samples, {requestedAt: asked.at, position: answer.position});
 		}
 	};
 
@@ -226,12 +226,12 @@
 		findNewestPosition() {
 			const newest = samples.at(-1);
 			return newest && row && {
-				group: name, epoch: row.epoch, position: newest.position, age: findElapsed(newest.askedAt, now()),
+				group: name, epoch: row.epoch, position: newest.position, age: findElapsed(newest.requestedAt, now()),
 			};
 		},
 		notePosition({epoch, position, age}, from) {
 			if (epoch === row?.epoch && row.state === 'serving') {
-				samples = addSample(samples, {askedAt: {steady: from.steady - age, wall: from.wall - age}, position});
+				samples = addPositionSample(samples, {requestedAt: {steady: from.steady - age, wall: from.wall - age}, position});
 			}
 		},
 		async probe() {
@@ -239,10 +239,10 @@
 			dropForeignLinks();
 			const last = samples.at(-1);
 			const at = now();
-			const isDue = isSampleDue({
-				age: last === undefined ? Number.POSITIVE_INFINITY : findElapsed(last.askedAt, at),
-				isReading: isReading(),
-				isWanted: at.steady - wantedAt < wantedSpan,
+			const isDue = isPositionSampleDue({
+				age: last === undefined ? Number.POSITIVE_INFINITY : findElapsed(last.requestedAt, at),
+				isStoreReader: isReading(),
+				hasReplicaReads: at.steady - wantedAt < wantedSpan,
 				now: at.steady,
 			});
 			if (isProbing || !isDue) {
--- a/packages/sessions/create-session-log.ts
+++ b/packages/sessions/create-session-log.ts
@@ -1,7 +1,7 @@
 import type {Writable} from 'node:stream';
 import bunyan from 'bunyan';
-import {admitLine} from './admit-line.ts';
-import type {LineBudget} from './line-budget.ts';
+import {admitLogLine} from './admit-log-line.ts';
+import type {LogLineBudget} from './log-line-budget.ts';
 import type {SessionLog} from './session-log.ts';
 
 type Options = {
@@ -20,10 +20,10 @@
 /** Creates the log of a host: structured lines, bounded in number, which never wait for a reader. */
 export function createSessionLog({host, output, now, onDropped}: Options): SessionLog {
 	const log = bunyan.createLogger({name: 'sapphirefall', host, streams: [{stream: output, level: 'debug'}]});
-	let budget: LineBudget = {startedAt: now(), written: 0, dropped: 0};
+	let budget: LogLineBudget = {startedAt: now(), written: 0, dropped: 0};
 
 	const write = (level: 'debug' | 'info' | 'warn', fields: Parameters<SessionLog['debug']>[0], line: string) => {
-		const admitted = admitLine(budget, {isOrdinary: level === 'debug', isBlocked: output.writableLength > waitingLimit, now: now()});
+		const admitted = admitLogLine(budget, {isOrdinary: level === 'debug', isBlocked: output.writableLength > waitingLimit, now: now()});
 		({budget} = admitted);
 		if (!admitted.isWritten) {
 			onDropped();
--- a/packages/sessions/create-session-metrics.ts
+++ b/packages/sessions/create-session-metrics.ts
@@ -14,10 +14,10 @@
 		statements: new Counter({
 			name: 'sapphirefall_statements_total', help: 'Statements answered, by kind and result.', labelNames: ['kind', 'result'], registers,
 		}),
-		seconds: new Histogram({
+		statementSeconds: new Histogram({
 			name: 'sapphirefall_statement_seconds', help: 'Seconds from a statement to its answer, by kind.', labelNames: ['kind'], buckets: secondsBuckets, registers,
 		}),
-		partSeconds: new Counter({
+		phaseSeconds: new Counter({
 			name: 'sapphirefall_statement_part_seconds_total', help: 'Seconds of statements, by the part in which they went by.', labelNames: ['part'], registers,
 		}),
 		storeCalls: new Counter({
--- a/packages/sessions/create-session-registry.ts
+++ b/packages/sessions/create-session-registry.ts
@@ -9,11 +9,11 @@
 type Options = {
 	readonly context: SessionContext;
 	/** Called with the number of open sessions when it changes. */
-	readonly onSessions: (count: number) => void;
+	readonly onSessionCount: (count: number) => void;
 	/** Work of other hosts that is under way here. */
-	readonly countForeign: () => number;
+	readonly countPeerJobs: () => number;
 	/** Milliseconds from the request to stop until the process is killed. */
-	readonly graceSpan: number;
+	readonly gracePeriodMs: number;
 	readonly now: () => Instant;
 };
 
@@ -36,7 +36,7 @@
 
 /** Creates the registry of a host's sessions. */
 export function createSessionRegistry({
-	context, onSessions, countForeign, graceSpan, now,
+	context, onSessionCount, countPeerJobs, gracePeriodMs, now,
 }: Options): SessionRegistry {
 	const sessions = new Set<Session>();
 	let lastNumber = 0;
@@ -55,7 +55,7 @@
 				},
 			});
 			sessions.add(session);
-			onSessions(sessions.size);
+			onSessionCount(sessions.size);
 			if (isDoorClosed) {
 				session.stop();
 			}
@@ -64,7 +64,7 @@
 				...session,
 				end() {
 					sessions.delete(session);
-					onSessions(sessions.size);
+					onSessionCount(sessions.size);
 					session.end();
 				},
 			};
@@ -78,8 +78,8 @@
 				session.stop();
 			}
 
-			const until = now().steady + graceSpan - sessionGrace - exitMargin;
-			while (sessions.size + countForeign() > 0 && now().steady < until) {
+			const until = now().steady + gracePeriodMs - sessionGrace - exitMargin;
+			while (sessions.size + countPeerJobs() > 0 && now().steady < until) {
 				await sleep(stepInterval);
 			}
 
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -108,7 +108,7 @@
 
 		transaction = createTransaction({
 			isReadOnly,
-			idleLimit: context.transactionIdle(),
+			idleLimit: context.transactionIdleLimit(),
 			onIdle() {
 				state = 'failed';
 			},
@@ -176,7 +176,7 @@
 				return leaveFailed(statement.kind);
 			}
 
-			const reason = transaction?.endedBecause();
+			const reason = transaction?.endReason();
 			return reason === undefined ? createFailure('malformed', 'The transaction has failed; end it first') : createFailure('aborted', reason);
 		}
 
--- a/packages/sessions/create-statement-trace.test.ts
+++ b/packages/sessions/create-statement-trace.test.ts
@@ -8,9 +8,9 @@
 			way: 4, queue: 1, open: 0, setup: 0, instance: 30,
 		};
 		trace.addSpan('rate', 2);
-		trace.addJob(job);
-		trace.addJob(undefined);
-		trace.addJob({...job, open: 12});
+		trace.addJobSpans(job);
+		trace.addJobSpans(undefined);
+		trace.addJobSpans({...job, open: 12});
 		trace.addStep('i-1: done');
 		expect(Object.fromEntries(trace.spans)).to.deep.equal({
 			rate: 2, way: 8, queue: 2, open: 12, setup: 0, instance: 60,
--- a/packages/sessions/create-statement-trace.ts
+++ b/packages/sessions/create-statement-trace.ts
@@ -16,7 +16,7 @@
 			steps.push(step);
 		},
 		addSpan,
-		addJob(job) {
+		addJobSpans(job) {
 			if (job === undefined) {
 				return;
 			}
--- a/packages/sessions/create-table-reader.ts
+++ b/packages/sessions/create-table-reader.ts
@@ -13,7 +13,7 @@
 import {isSameMark} from './is-same-mark.ts';
 import type {KnownTable} from './known-table.ts';
 import {mergePeerTable} from './merge-peer-table.ts';
-import type {PositionOfAge} from './position-of-age.ts';
+import type {PrimaryPosition} from './primary-position.ts';
 import type {SessionLog} from './session-log.ts';
 import {settleSpan} from './settle-span.ts';
 import type {Store} from './store.ts';
@@ -32,9 +32,9 @@
 	readonly register: () => Promise<void>;
 	readonly onTable: (table: StoreTable, known: KnownTable) => void;
 	/** How far the logs of the primaries were, as this host knows. */
-	readonly listPositions: () => readonly PositionOfAge[];
+	readonly listPositions: () => readonly PrimaryPosition[];
 	/** Called with what another host knows of the logs; ages count from the moment given. */
-	readonly onPositions: (positions: readonly PositionOfAge[], from: Instant) => void;
+	readonly onPositions: (positions: readonly PrimaryPosition[], from: Instant) => void;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
 };
--- a/packages/sessions/create-transaction.ts
+++ b/packages/sessions/create-transaction.ts
@@ -103,7 +103,7 @@
 			}, () => operation.isAllowed() && !isOver && (isReadOnly || isLeased(operation)));
 			operation.trace.addStep(`${instance.listed().id}: ${describeAnswer(answer)}`);
 			if (answer.kind === 'answered') {
-				operation.trace.addJob(answer.spans);
+				operation.trace.addJobSpans(answer.spans);
 			}
 
 			const outcome = judge(answer);
@@ -142,7 +142,7 @@
 					: createFailure('aborted', answer.reason);
 			}
 
-			operation.trace.addJob(answer.spans);
+			operation.trace.addJobSpans(answer.spans);
 			if (answer.outcome.kind === 'failed') {
 				return answer.outcome;
 			}
@@ -162,6 +162,6 @@
 		rollBack() {
 			void finish();
 		},
-		endedBecause: () => endedBecause,
+		endReason: () => endedBecause,
 	};
 }
--- a/packages/sessions/find-required-position.test.ts
+++ b/packages/sessions/find-required-position.test.ts
@@ -3,7 +3,7 @@
 
 const at = (steady: number) => ({steady, wall: steady});
 const point = (term: number, position: number) => ({term, position: BigInt(position)});
-const sample = (time: number, position: number, term = 1) => ({askedAt: at(time), position: point(term, position)});
+const sample = (time: number, position: number, term = 1) => ({requestedAt: at(time), position: point(term, position)});
 
 describe('findRequiredPosition', () => {
 	const samples = [sample(0, 10), sample(500, 20), sample(1000, 30)];
--- a/packages/sessions/find-required-position.ts
+++ b/packages/sessions/find-required-position.ts
@@ -42,5 +42,5 @@
 }
 
 function isYoung(sample: PositionSample, maxStaleness: number, arrivedAt: Instant): boolean {
-	return findElapsed(sample.askedAt, arrivedAt) <= maxStaleness - stalenessMargin;
+	return findElapsed(sample.requestedAt, arrivedAt) <= maxStaleness - stalenessMargin;
 }
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -2,7 +2,7 @@
 import type {JobAnswer} from './job-answer.ts';
 import type {Job} from './job.ts';
 import type {PeerTable} from './peer-table.ts';
-import type {PositionOfAge} from './position-of-age.ts';
+import type {PrimaryPosition} from './primary-position.ts';
 import type {RateClaim} from './rate-claim.ts';
 import type {RateGrant} from './rate-grant.ts';
 import type {StoreTable} from './store-table.ts';
@@ -10,7 +10,7 @@
 /** What another host knows of the store and of the groups' primaries. */
 type PeerKnowledge = {
 	readonly tables: readonly PeerTable[];
-	readonly positions: readonly PositionOfAge[];
+	readonly positions: readonly PrimaryPosition[];
 	/** Milliseconds that the other host waited for a change before it answered; ages count from then. */
 	readonly waited: number;
 };
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -6,7 +6,7 @@
 import type {JobRunner} from './job-runner.ts';
 import type {ListedInstance} from './listed-instance.ts';
 import type {PooledLink} from './pooled-link.ts';
-import type {RunJob} from './run-job.ts';
+import type {DispatchJob} from './dispatch-job.ts';
 
 /** An instance as a host uses it. */
 export type InstanceRuntime = {
@@ -18,7 +18,7 @@
 	/** Sends a request on an own connection and gives it up after `timeout` milliseconds, which closes the connection. */
 	readonly send: (link: PooledLink, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
 	/** Runs a job on an own connection or through a gateway. */
-	readonly run: RunJob;
+	readonly run: DispatchJob;
 	/** Makes sure that the gateway of a workspace answers, before a write needs to know. */
 	readonly reach: (workspace: string) => void;
 	/** Runs a job on an own connection. */
--- a/packages/sessions/is-sample-due.ts
+++ b/packages/sessions/is-position-sample-due.ts
@@ -4,9 +4,9 @@
 	/** Milliseconds since the primary was last known to be asked for its position. */
 	readonly age: number;
 	/** Whether this host reads the store, and tells others the positions with what it read. */
-	readonly isReading: boolean;
+	readonly isStoreReader: boolean;
 	/** Whether callers lately wanted to read at replicas. */
-	readonly isWanted: boolean;
+	readonly hasReplicaReads: boolean;
 	/** Steady milliseconds. */
 	readonly now: number;
 };
@@ -22,9 +22,9 @@
 const toldInterval = 1300;
 
 /** Whether the primary is to be asked for its position now. */
-export function isSampleDue({age, isReading, isWanted, now}: Options): boolean {
-	if (!isReading) {
-		return isWanted && age >= toldInterval;
+export function isPositionSampleDue({age, isStoreReader, hasReplicaReads, now}: Options): boolean {
+	if (!isStoreReader) {
+		return hasReplicaReads && age >= toldInterval;
 	}
 
 	const isAboutToTell = now % proofPeriod >= lastPart * proofPeriod;
--- a/packages/sessions/open-transaction.ts
+++ b/packages/sessions/open-transaction.ts
@@ -59,11 +59,11 @@
 	const {id} = instance.listed();
 	const askedAt: Instant = context.now();
 	const {answer, runner} = await instance.run({
-		...createJobBase(operation), kind: 'begin', setup: operation.setup, isReadOnly, after, idleLimit: context.transactionIdle(),
+		...createJobBase(operation), kind: 'begin', setup: operation.setup, isReadOnly, after, idleLimit: context.transactionIdleLimit(),
 	}, () => operation.isAllowed() && (epoch === undefined || hasLease(group, epoch)));
 	operation.trace.addStep(`${id}: begin ${describeAnswer(answer)}`);
 	if (answer.kind === 'answered' && answer.transaction !== undefined) {
-		operation.trace.addJob(answer.spans);
+		operation.trace.addJobSpans(answer.spans);
 		if (epoch !== undefined) {
 			group.noteAnswer(id, answer, {at: askedAt, epoch});
 		}
--- a/packages/sessions/position-sample.ts
+++ b/packages/sessions/position-sample.ts
@@ -7,6 +7,6 @@
  * Holds only if the host's lease on the primary was valid at `askedAt`.
  */
 export type PositionSample = {
-	readonly askedAt: Instant;
+	readonly requestedAt: Instant;
 	readonly position: LogPoint;
 };
--- a/packages/sessions/position-of-age.ts
+++ b/packages/sessions/primary-position.ts
@@ -1,7 +1,7 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 
 /** How far the log of a group's primary was, as another host knows it. */
-export type PositionOfAge = {
+export type PrimaryPosition = {
 	readonly group: string;
 	readonly epoch: number;
 	readonly position: LogPoint;
--- a/packages/sessions/rank-readers.test.ts
+++ b/packages/sessions/rank-readers.test.ts
@@ -7,9 +7,9 @@
 	latency: 30, heardAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
 };
 const replica: ReadCandidate = {
-	id: 'replica', isLocal: true, isPrimary: false, health, load: 0,
+	id: 'replica', isSameZone: true, isPrimary: false, health, load: 0,
 };
-const remote: ReadCandidate = {...replica, id: 'remote', isLocal: false};
+const remote: ReadCandidate = {...replica, id: 'remote', isSameZone: false};
 const primary: ReadCandidate = {...replica, id: 'primary', isPrimary: true};
 
 describe('rankReaders', () => {
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -37,9 +37,9 @@
 		.map(({candidate}) => candidate);
 }
 
-function findCost({isLocal, isPrimary, health, load}: ReadCandidate, {required, now}: Options): number {
+function findCost({isSameZone, isPrimary, health, load}: ReadCandidate, {required, now}: Options): number {
 	let cost = health.latency * (1 + load);
-	cost += isLocal ? 0 : remotePenalty;
+	cost += isSameZone ? 0 : remotePenalty;
 	cost += isPrimary ? primaryPenalty : 0;
 	cost += health.avoidedUntil > now ? avoidedPenalty : 0;
 	cost += health.unansweredSince !== undefined && now - health.unansweredSince > silenceLimit ? silentPenalty : 0;
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -66,7 +66,7 @@
 		return {kind: 'failed', outcome: createFailure('timeout', answer.reason), isFinal: false};
 	}
 
-	operation.trace.addJob(answer.spans);
+	operation.trace.addJobSpans(answer.spans);
 	const view = group.primary();
 	group.noteAnswer(id, answer, {at: askedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
 	if (answer.outcome.kind === 'done') {
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -73,7 +73,7 @@
 		return {outcome: createFailure('unknown', `The write may have run: ${answer.reason}`), isFinal: true};
 	}
 
-	operation.trace.addJob(answer.spans);
+	operation.trace.addJobSpans(answer.spans);
 	group.noteAnswer(id, answer, {at: askedAt, epoch});
 	if (answer.outcome.kind === 'failed') {
 		return hasNotRun(answer.outcome.code)
--- a/packages/sessions/session-context.ts
+++ b/packages/sessions/session-context.ts
@@ -26,7 +26,7 @@
 	/** Checks the route and the key by the newest configuration, if that is known to be fresh enough. */
 	readonly findAccess: (caller: Caller) => Access;
 	/** Milliseconds for which a transaction may stand idle. */
-	readonly transactionIdle: () => number;
+	readonly transactionIdleLimit: () => number;
 	readonly findGroup: (name: string) => SessionGroup | undefined;
 	/** Takes one operation from the workspace's share; else says after how many milliseconds to come back. */
 	readonly takeOperation: (workspace: string) => Promise<{readonly isTaken: boolean; readonly retryAfter: number}>;
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -4,7 +4,7 @@
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {Instant} from './instant.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import type {PositionOfAge} from './position-of-age.ts';
+import type {PrimaryPosition} from './primary-position.ts';
 import type {PrimaryView} from './primary-view.ts';
 import type {LastWrite} from './last-write.ts';
 import type {Versioned} from './versioned.ts';
@@ -35,9 +35,9 @@
 	/** Takes note of the position in an answer of the primary. */
 	readonly noteAnswer: (instance: string, answer: InstanceAnswer, asked: {readonly at: Instant; readonly epoch: number}) => void;
 	/** Newest known position of the primary's log; undefined when none is known. */
-	readonly findNewestPosition: () => PositionOfAge | undefined;
+	readonly findNewestPosition: () => PrimaryPosition | undefined;
 	/** Takes note of a position that another host knows; its age counts from the moment given. */
-	readonly notePosition: (position: PositionOfAge, from: Instant) => void;
+	readonly notePosition: (position: PrimaryPosition, from: Instant) => void;
 	/** Asks the primary for its position if no answer has told it lately. */
 	readonly probe: () => Promise<void>;
 };
--- a/packages/sessions/session-metrics.ts
+++ b/packages/sessions/session-metrics.ts
@@ -8,9 +8,9 @@
 	/** Statements answered, by kind and result. */
 	readonly statements: Counter<'kind' | 'result'>;
 	/** Seconds from a statement to its answer, by kind. */
-	readonly seconds: Histogram<'kind'>;
+	readonly statementSeconds: Histogram<'kind'>;
 	/** Seconds of statements, by the part in which they went by; see `StatementTrace`. */
-	readonly partSeconds: Counter<'part'>;
+	readonly phaseSeconds: Counter<'part'>;
 	/** Calls to the store, by kind and result. */
 	readonly storeCalls: Counter<'kind' | 'result'>;
 	readonly droppedLines: Counter;
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -201,7 +201,7 @@
 	const context: SessionContext = {
 		now,
 		findAccess: findCallerAccess,
-		transactionIdle: () => findDirectory()?.directory.transactionIdle ?? 0,
+		transactionIdleLimit: () => findDirectory()?.directory.transactionIdle ?? 0,
 		findGroup: name => groups.get(name),
 		takeOperation: rates.takeOperation,
 		onAnswered: options.onAnswered,
@@ -209,7 +209,7 @@
 	};
 
 	const registry = createSessionRegistry({
-		context, onSessions: options.onSessions, countForeign: gateway.countOpen, graceSpan: profile.graceSpan, now,
+		context, onSessionCount: options.onSessions, countPeerJobs: gateway.countOpen, gracePeriodMs: profile.graceSpan, now,
 	});
 
 	return {
--- a/packages/sessions/statement-trace.ts
+++ b/packages/sessions/statement-trace.ts
@@ -15,5 +15,5 @@
 	readonly addStep: (step: string) => void;
 	readonly addSpan: (name: SpanName, span: number) => void;
 	/** Adds the parts of a job. */
-	readonly addJob: (spans: JobSpans | undefined) => void;
+	readonly addJobSpans: (spans: JobSpans | undefined) => void;
 };
--- a/packages/sessions/transaction.ts
+++ b/packages/sessions/transaction.ts
@@ -10,5 +10,5 @@
 	/** Rolls back and gives the connection back, without waiting. */
 	readonly rollBack: () => void;
 	/** Why the transaction was ended from this side, if it was. */
-	readonly endedBecause: () => string | undefined;
+	readonly endReason: () => string | undefined;
 };
