--- a/packages/sessions/add-position-sample.ts
+++ b/packages/sessions/add-position-sample.ts
@@ -1,20 +1,20 @@
 import type {PositionSample} from './position-sample.ts';
 
-/** Milliseconds between two samples that are kept; closer ones replace the last. */
-const sampleSpacing = 100;
+/** Smallest spacing of kept samples in milliseconds; a sample that follows more closely replaces the last one. */
+const sampleSpacingMs = 100;
 
-/** Samples kept of a group: as many as cover the longest age that reads may have. */
-const samplesKept = 40;
+/** Number of samples kept per group, enough to cover the largest staleness of a read. */
+const maxSamples = 40;
 
-/** Adds a sample to the samples of a group, oldest first. */
+/** Adds a sample to the samples of a group, which are sorted oldest first; ignores one that is not newer than the last. */
 export function addPositionSample(samples: readonly PositionSample[], added: PositionSample): readonly PositionSample[] {
-	const before = samples.at(-2);
+	const secondLast = samples.at(-2);
 	const last = samples.at(-1);
 	if (last !== undefined && added.requestedAt.steady <= last.requestedAt.steady) {
 		return samples;
 	}
 
-	const isClose = before !== undefined && last !== undefined && last.requestedAt.steady - before.requestedAt.steady < sampleSpacing;
+	const isClose = secondLast !== undefined && last !== undefined && last.requestedAt.steady - secondLast.requestedAt.steady < sampleSpacingMs;
 	const kept = isClose ? samples.slice(0, -1) : samples;
-	return [...kept, added].slice(-samplesKept);
+	return [...kept, added].slice(-maxSamples);
 }
--- a/packages/sessions/admit-log-line.test.ts
+++ b/packages/sessions/admit-log-line.test.ts
@@ -6,22 +6,22 @@
 	const fresh: LogLineBudget = {startedAt: 0, written: 0, dropped: 0};
 	const cases = [
 		{
-			name: 'writes an ordinary line', budget: fresh, line: {isOrdinary: true, isBlocked: false, now: 10}, expected: {isWritten: true, written: 1, dropped: 0},
+			name: 'writes a debug line below the limit', budget: fresh, line: {isDebug: true, isOutputFull: false, now: 10}, expected: {isWritten: true, written: 1, dropped: 0},
 		},
 		{
-			name: 'leaves ordinary lines out first under load', budget: {...fresh, written: 20}, line: {isOrdinary: true, isBlocked: false, now: 10}, expected: {isWritten: false, written: 20, dropped: 1},
+			name: 'drops debug lines at the lower limit', budget: {...fresh, written: 20}, line: {isDebug: true, isOutputFull: false, now: 10}, expected: {isWritten: false, written: 20, dropped: 1},
 		},
 		{
-			name: 'keeps failures longer', budget: {...fresh, written: 20}, line: {isOrdinary: false, isBlocked: false, now: 10}, expected: {isWritten: true, written: 21, dropped: 0},
+			name: 'writes other lines above the limit of debug lines', budget: {...fresh, written: 20}, line: {isDebug: false, isOutputFull: false, now: 10}, expected: {isWritten: true, written: 21, dropped: 0},
 		},
 		{
-			name: 'bounds failures too', budget: {...fresh, written: 200}, line: {isOrdinary: false, isBlocked: false, now: 10}, expected: {isWritten: false, written: 200, dropped: 1},
+			name: 'drops other lines at the upper limit', budget: {...fresh, written: 200}, line: {isDebug: false, isOutputFull: false, now: 10}, expected: {isWritten: false, written: 200, dropped: 1},
 		},
 		{
-			name: 'drops lines that nobody reads rather than wait', budget: fresh, line: {isOrdinary: false, isBlocked: true, now: 10}, expected: {isWritten: false, written: 0, dropped: 1},
+			name: 'drops lines while the output is full', budget: fresh, line: {isDebug: false, isOutputFull: true, now: 10}, expected: {isWritten: false, written: 0, dropped: 1},
 		},
 		{
-			name: 'begins anew each second, and keeps the count of what was left out', budget: {startedAt: 0, written: 200, dropped: 7}, line: {isOrdinary: true, isBlocked: false, now: 1000}, expected: {isWritten: true, written: 1, dropped: 7},
+			name: 'resets the written lines in each window, and keeps the count of dropped lines', budget: {startedAt: 0, written: 200, dropped: 7}, line: {isDebug: true, isOutputFull: false, now: 1000}, expected: {isWritten: true, written: 1, dropped: 7},
 		},
 	];
 	for (const {name, budget, line, expected} of cases) {
--- a/packages/sessions/admit-log-line.ts
+++ b/packages/sessions/admit-log-line.ts
@@ -1,27 +1,27 @@
 import type {LogLineBudget} from './log-line-budget.ts';
 
 type Line = {
-	/** Ordinary lines are left out first. */
-	readonly isOrdinary: boolean;
-	/** Whether the output still holds lines that nobody has read. */
-	readonly isBlocked: boolean;
-	/** Steady milliseconds. */
+	/** Debug lines have the lower limit, so they are dropped first. */
+	readonly isDebug: boolean;
+	/** Whether the output has too many bytes buffered, because its reader is slow. */
+	readonly isOutputFull: boolean;
+	/** Current time in steady milliseconds. */
 	readonly now: number;
 };
 
-/** Lines a second of ordinary events, and of all. */
-const limits = {ordinary: 20, all: 200};
+/** Limits on the lines per second for debug lines, and for other lines; both count all written lines. */
+const maxLinesPerSecond = {debug: 20, all: 200};
 
-/** Milliseconds for which the limits count. */
-const span = 1000;
+/** Length of the rate-limit window in milliseconds. */
+const windowMs = 1000;
 
-/** Decides whether a log line is written, so that logs stay bounded under load and never hold the process up. */
-export function admitLogLine(budget: LogLineBudget, {isOrdinary, isBlocked, now}: Line): {readonly budget: LogLineBudget; readonly isWritten: boolean} {
-	const present = now - budget.startedAt < span ? budget : {...budget, startedAt: now, written: 0};
-	const limit = isOrdinary ? limits.ordinary : limits.all;
-	const isWritten = !isBlocked && present.written < limit;
+/** Decides whether a log line is written; limits the log volume under load and never lets a full output block the process. */
+export function admitLogLine(budget: LogLineBudget, {isDebug, isOutputFull, now}: Line): {readonly budget: LogLineBudget; readonly isWritten: boolean} {
+	const current = now - budget.startedAt < windowMs ? budget : {...budget, startedAt: now, written: 0};
+	const limit = isDebug ? maxLinesPerSecond.debug : maxLinesPerSecond.all;
+	const isWritten = !isOutputFull && current.written < limit;
 	return {
-		budget: isWritten ? {...present, written: present.written + 1} : {...present, dropped: present.dropped + 1},
+		budget: isWritten ? {...current, written: current.written + 1} : {...current, dropped: current.dropped + 1},
 		isWritten,
 	};
 }
--- a/packages/sessions/apply-setup-statement.ts
+++ b/packages/sessions/apply-setup-statement.ts
@@ -4,13 +4,15 @@
 import type {Statement} from './statement.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 
-/** Values and prepared statements that a session may hold, so that one session cannot fill the host. */
-const setupLimit = 200;
+/** Largest number of session variables, and of prepared statements, per session; bounds the memory that one session uses. */
+const maxSetupEntries = 200;
 
 /**
- * Applies a statement that only sets the session up; connections are brought to it when work runs there.
+ * Applies a statement that changes only the session's setup: `set`, `prepare` or `close`.
  *
- * @returns Undefined for any other statement.
+ * A connection receives the setup when the next query of the session runs on it.
+ *
+ * @returns Undefined for any other kind of statement.
  */
 export function applySetupStatement(statement: Statement, setup: SessionSetup): StatementOutcome | undefined {
 	switch (statement.kind) {
@@ -34,7 +36,7 @@
 		}
 	}
 
-	return setup.variables.size > setupLimit || setup.prepared.size > setupLimit
-		? createFailure('malformed', `A session holds ${setupLimit} values and prepared statements at most`)
+	return setup.variables.size > maxSetupEntries || setup.prepared.size > maxSetupEntries
+		? createFailure('malformed', `A session holds ${maxSetupEntries} values and prepared statements at most`)
 		: emptyResult;
 }
--- a/packages/sessions/apply-setup.test.ts
+++ b/packages/sessions/apply-setup.test.ts
@@ -9,11 +9,11 @@
 
 const read = {access: 'read', shape: 'q1'} as const;
 
-/** Milliseconds within which work may follow a statement that is being prepared. */
+/** Milliseconds within which a query may follow the request to prepare its statement. */
 const soon = 50;
 
 describe('applySetup', () => {
-	it('lets work follow a statement that is being prepared, and forgets one that failed', async () => {
+	it('does not wait for a statement to be prepared, and removes one that could not be prepared', async () => {
 		const answer = new Promise<InstanceAnswer>(resolve => {
 			setTimeout(resolve, 2 * soon, {kind: 'lost', reason: ''});
 		});
@@ -31,25 +31,25 @@
 
 	const cases = [
 		{
-			name: 'does nothing when all fits', held: [['a', '1']], wanted: [['a', '1']], sent: [],
+			name: 'sends nothing when the variables match', held: [['a', '1']], wanted: [['a', '1']], sent: [],
 		},
 		{
-			name: 'sets what is missing or differs', held: [['a', '1']], wanted: [['a', '2'], ['b', '1']], sent: ['set a', 'set b'],
+			name: 'sets variables that are missing or differ', held: [['a', '1']], wanted: [['a', '2'], ['b', '1']], sent: ['set a', 'set b'],
 		},
 		{
-			name: 'forgets the values of another session first', held: [['x', '1']], wanted: [['a', '1']], sent: ['reset', 'set a'],
+			name: 'resets the variables of another session first', held: [['x', '1']], wanted: [['a', '1']], sent: ['reset', 'set a'],
 		},
 		{
 			name: 'never resets inside a transaction', held: [['x', '1']], wanted: [['a', '1']], isInTransaction: true, sent: ['set a'],
 		},
 		{
-			name: 'prepares a statement once for all sessions with its shape', held: [], wanted: [], prepared: 's', sent: ['prepare p1'],
+			name: 'prepares a statement by its shape, under a name of the connection', held: [], wanted: [], prepared: 's', sent: ['prepare p1'],
 		},
 		{
 			name: 'fails for a name that was not prepared', held: [], wanted: [], prepared: 't', sent: [], isReady: false,
 		},
 		{
-			name: 'fails when the instance does not take a value', held: [], wanted: [['a', '1']], isFailing: true, sent: ['set a'], isReady: false,
+			name: 'fails when the instance does not answer a set request', held: [], wanted: [['a', '1']], isFailing: true, sent: ['set a'], isReady: false,
 		},
 	] satisfies ReadonlyArray<{name: string; held: Values; wanted: Values; sent: readonly string[]; isInTransaction?: boolean; prepared?: string; isFailing?: boolean; isReady?: boolean}>;
 	for (const {
--- a/packages/sessions/apply-setup.ts
+++ b/packages/sessions/apply-setup.ts
@@ -7,22 +7,24 @@
 
 type Options = {
 	readonly setup: SessionSetup;
-	/** Name of the prepared statement that is to run, if any. */
+	/** Name of the prepared statement that the next query executes, if any. */
 	readonly prepared: string | undefined;
-	/** Whether the connection is inside the session's transaction, where it must not be reset. */
+	/** Whether the session's transaction is open on the connection; the connection must not be reset then. */
 	readonly isInTransaction: boolean;
 	readonly send: (request: InstanceRequest) => Promise<InstanceAnswer>;
 };
 
 /**
- * Brings a connection to the values of a session, and begins to prepare the statement that is to run.
+ * Sets the session's variables on a connection and starts to prepare the statement that the next query executes.
  *
- * @returns Whether the connection now holds just what the session set.
+ * Resets the connection first if it holds variables of another session.
+ *
+ * @returns False if the instance refused a reset or a variable, or if the session has no prepared statement of this name.
  */
 export async function applySetup(pooled: PooledLink, {setup, prepared, isInTransaction, send}: Options): Promise<boolean> {
-	const isForeign = [...pooled.values.keys()].some(name => !setup.variables.has(name));
-	if (isForeign && !isInTransaction) {
-		if (!isDone(await send({kind: 'reset'}))) {
+	const hasForeignVariables = [...pooled.values.keys()].some(name => !setup.variables.has(name));
+	if (hasForeignVariables && !isInTransaction) {
+		if (!hasSucceeded(await send({kind: 'reset'}))) {
 			return false;
 		}
 
@@ -30,20 +32,20 @@
 		pooled.prepared.clear();
 	}
 
-	const missing = [...setup.variables].filter(([name, value]) => pooled.values.get(name) !== value);
-	const answers = await Promise.all(missing.map(async ([name, value]) => send({kind: 'set', name, value})));
-	if (!answers.every(answer => isDone(answer))) {
+	const outdated = [...setup.variables].filter(([name, value]) => pooled.values.get(name) !== value);
+	const answers = await Promise.all(outdated.map(async ([name, value]) => send({kind: 'set', name, value})));
+	if (!answers.every(answer => hasSucceeded(answer))) {
 		return false;
 	}
 
-	for (const [name, value] of missing) {
+	for (const [name, value] of outdated) {
 		pooled.values.set(name, value);
 	}
 
-	return prepared === undefined || applyPrepared(pooled, {setup, prepared, send});
+	return prepared === undefined || ensurePrepared(pooled, {setup, prepared, send});
 }
 
-function applyPrepared(pooled: PooledLink, {setup, prepared, send}: Pick<Options, 'setup' | 'send'> & {readonly prepared: string}): boolean {
+function ensurePrepared(pooled: PooledLink, {setup, prepared, send}: Pick<Options, 'setup' | 'send'> & {readonly prepared: string}): boolean {
 	const statement = setup.prepared.get(prepared);
 	if (statement === undefined) {
 		return false;
@@ -54,23 +56,25 @@
 		return true;
 	}
 
-	void prepare(pooled, {statement, shape, send});
+	void startPreparing(pooled, {statement, shape, send});
 	return true;
 }
 
 /**
- * Prepares a statement on a connection. What runs it may follow at once: where the preparing fails the instance answers
- * that it knows no such name, and has run nothing.
+ * Prepares a statement on a connection.
+ *
+ * The query that executes the statement may be sent without waiting for the answer: if preparing fails, the instance
+ * rejects the query with an unknown name and has run nothing.
  */
-async function prepare(pooled: PooledLink, {statement, shape, send}: Pick<Options, 'send'> & {readonly statement: PreparedStatement; readonly shape: string}): Promise<void> {
+async function startPreparing(pooled: PooledLink, {statement, shape, send}: Pick<Options, 'send'> & {readonly statement: PreparedStatement; readonly shape: string}): Promise<void> {
 	const name = `p${pooled.prepared.size + 1}`;
 	pooled.prepared.set(shape, name);
 	const answer = await send({kind: 'prepare', name, prepared: statement});
-	if (!isDone(answer)) {
+	if (!hasSucceeded(answer)) {
 		pooled.prepared.delete(shape);
 	}
 }
 
-function isDone(answer: InstanceAnswer): boolean {
+function hasSucceeded(answer: InstanceAnswer): boolean {
 	return answer.kind === 'answered' && answer.outcome.kind === 'done';
 }
--- a/packages/sessions/choose-target.ts
+++ b/packages/sessions/choose-target.ts
@@ -3,16 +3,23 @@
 import {waitForUsefulPrimary} from './wait-for-useful-primary.ts';
 
 type Options = {
-	/** Whether a replica may serve it, because it only reads. */
+	/** Whether the operation only reads, so that a replica may serve it. */
 	readonly isReadOnly: boolean;
-	/** Instances that were tried already. */
+	/** Ids of the instances that were already tried. */
 	readonly tried: ReadonlySet<string>;
-	/** Milliseconds for which the primary may be waited for. */
-	readonly left: number;
+	/** Longest wait for the primary in milliseconds. */
+	readonly remainingMs: number;
 };
 
-/** Chooses where an operation goes next: fresh replicas first, then the primary under its lease. */
-export async function chooseTarget(operation: Operation, {isReadOnly, tried, left}: Options): Promise<Target | undefined> {
+/**
+ * Chooses the instance for the next attempt of an operation.
+ *
+ * A read that need not be served by the primary goes to the best-ranked instance that was not tried yet. Anything else,
+ * and a read without such an instance, goes to the leased primary.
+ *
+ * @returns Undefined if there is no such instance and no leased primary.
+ */
+export async function chooseTarget(operation: Operation, {isReadOnly, tried, remainingMs}: Options): Promise<Target | undefined> {
 	const {group, route, arrivedAt} = operation;
 	if (isReadOnly && route.freshness !== 'latest') {
 		const required = group.findRequired({maxStaleness: route.maxStaleness, lastWrite: operation.lastWrite(), arrivedAt});
@@ -23,7 +30,7 @@
 		}
 	}
 
-	const view = await waitForUsefulPrimary(operation, left);
+	const view = await waitForUsefulPrimary(operation, remainingMs);
 	const instance = view.kind === 'leased' ? group.findInstance(view.instance) : undefined;
 	return view.kind === 'leased' && instance !== undefined ? {instance, after: undefined, epoch: view.epoch} : undefined;
 }
--- a/packages/sessions/create-session-log.test.ts
+++ b/packages/sessions/create-session-log.test.ts
@@ -22,7 +22,7 @@
 `;
 
 describe('createSessionLog', () => {
-	it('does not hold the process up when nobody reads the pipe', async () => {
+	it('does not block the process when nobody reads the pipe', async () => {
 		const child = spawn(process.execPath, ['--import=tsx', '--input-type=module', '--eval', program], {cwd: import.meta.dirname, stdio: ['ignore', 'pipe', 'pipe']});
 		const output = await text(child.stderr);
 		expect(output).to.match(/"ticks":150/v);
--- a/packages/sessions/create-session-log.ts
+++ b/packages/sessions/create-session-log.ts
@@ -5,25 +5,29 @@
 import type {SessionLog} from './session-log.ts';
 
 type Options = {
-	/** Name of the host. */
 	readonly host: string;
 	readonly output: Writable;
-	/** Present steady milliseconds. */
+	/** Returns the current time of the steady clock in milliseconds. */
 	readonly now: () => number;
-	/** Called with each line that is left out. */
+	/** Called once for each dropped line. */
 	readonly onDropped: () => void;
 };
 
-/** Bytes that may wait in the output before lines are left out. */
-const waitingLimit = 256 * 1024;
+/** Bytes buffered in the output above which lines are dropped. */
+const maxBufferedBytes = 256 * 1024;
 
-/** Creates the log of a host: structured lines, bounded in number, which never wait for a reader. */
+/**
+ * Creates the structured log of a host.
+ *
+ * The rate of lines is limited, and lines are dropped while the output is full, so that a slow or missing reader never
+ * blocks the process. The next line that is written holds the number of dropped lines in its field `dropped`.
+ */
 export function createSessionLog({host, output, now, onDropped}: Options): SessionLog {
 	const log = bunyan.createLogger({name: 'sapphirefall', host, streams: [{stream: output, level: 'debug'}]});
 	let budget: LogLineBudget = {startedAt: now(), written: 0, dropped: 0};
 
 	const write = (level: 'debug' | 'info' | 'warn', fields: Parameters<SessionLog['debug']>[0], line: string) => {
-		const admitted = admitLogLine(budget, {isOrdinary: level === 'debug', isBlocked: output.writableLength > waitingLimit, now: now()});
+		const admitted = admitLogLine(budget, {isDebug: level === 'debug', isOutputFull: output.writableLength > maxBufferedBytes, now: now()});
 		({budget} = admitted);
 		if (!admitted.isWritten) {
 			onDropped();
--- a/packages/sessions/create-session-metrics.ts
+++ b/packages/sessions/create-session-metrics.ts
@@ -3,9 +3,10 @@
 } from 'prom-client';
 import type {SessionMetrics} from './session-metrics.ts';
 
+/** Upper bounds of the histogram buckets, in seconds. */
 const secondsBuckets = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
 
-/** Creates the metrics of a host that serves sessions, in a registry of their own. */
+/** Creates the metrics of a host that serves sessions, in a new registry. */
 export function createSessionMetrics(): SessionMetrics {
 	const registry = new Registry();
 	const registers = [registry];
--- a/packages/sessions/create-session-registry.ts
+++ b/packages/sessions/create-session-registry.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the registry looks again after a pause */
+/* eslint-disable no-await-in-loop -- the registry polls its sessions */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {createSession} from './create-session.ts';
 import type {Instant} from './instant.ts';
@@ -8,11 +8,11 @@
 
 type Options = {
 	readonly context: SessionContext;
-	/** Called with the number of open sessions when it changes. */
+	/** Called with the number of open sessions when a session opens or its caller disconnects. */
 	readonly onSessionCount: (count: number) => void;
-	/** Work of other hosts that is under way here. */
+	/** Counts the jobs and transactions that this host runs for other hosts. */
 	readonly countPeerJobs: () => number;
-	/** Milliseconds from the request to stop until the process is killed. */
+	/** Milliseconds from the stop request until the process is killed. */
 	readonly gracePeriodMs: number;
 	readonly now: () => Instant;
 };
@@ -21,26 +21,26 @@
 type SessionRegistry = {
 	readonly openSession: SessionHost['openSession'];
 	readonly count: () => number;
-	/** Lets sessions end, and resolves when none is left or their time is over; see `SessionHost`. */
+	/** Drains the sessions; resolves when none is left or the drain deadline has passed. See `SessionHost.stop`. */
 	readonly stop: SessionHost['stop'];
 };
 
-/** Milliseconds between two looks at the sessions that are left. */
-const stepInterval = 100;
+/** Milliseconds between two checks for remaining sessions. */
+const pollIntervalMs = 100;
 
-/** Milliseconds for which sessions may go on idle after the request to stop, so that callers are sent elsewhere first. */
-const sessionGrace = 2200;
+/** Milliseconds after the stop request during which idle sessions stay open, so that new callers are directed to other hosts first. */
+const idleSessionGraceMs = 2200;
 
-/** Milliseconds left between the last session and the end of the process. */
-const exitMargin = 1200;
+/** Milliseconds between the drain deadline and the end of the grace period, left for closing sessions and exiting. */
+const exitMarginMs = 1200;
 
-/** Creates the registry of a host's sessions. */
+/** Creates the registry of a host's open sessions. */
 export function createSessionRegistry({
 	context, onSessionCount, countPeerJobs, gracePeriodMs, now,
 }: Options): SessionRegistry {
 	const sessions = new Set<Session>();
 	let lastNumber = 0;
-	let isDoorClosed = false;
+	let isDraining = false;
 
 	return {
 		openSession(connection) {
@@ -56,7 +56,7 @@
 			});
 			sessions.add(session);
 			onSessionCount(sessions.size);
-			if (isDoorClosed) {
+			if (isDraining) {
 				session.stop();
 			}
 
@@ -70,25 +70,25 @@
 			};
 		},
 		count: () => sessions.size,
-		async stop(closeDoor) {
-			await sleep(sessionGrace);
-			closeDoor();
-			isDoorClosed = true;
+		async stop(stopAccepting) {
+			await sleep(idleSessionGraceMs);
+			stopAccepting();
+			isDraining = true;
 			for (const session of sessions) {
 				session.stop();
 			}
 
-			const until = now().steady + gracePeriodMs - sessionGrace - exitMargin;
-			while (sessions.size + countPeerJobs() > 0 && now().steady < until) {
-				await sleep(stepInterval);
+			const drainDeadline = now().steady + gracePeriodMs - idleSessionGraceMs - exitMarginMs;
+			while (sessions.size + countPeerJobs() > 0 && now().steady < drainDeadline) {
+				await sleep(pollIntervalMs);
 			}
 
 			for (const session of sessions) {
 				session.abort();
 			}
 
-			// The last answers are written out meanwhile.
-			await sleep(stepInterval);
+			// Leaves time for the last answers to be written to their connections.
+			await sleep(pollIntervalMs);
 		},
 	};
 }
--- a/packages/sessions/create-session.ts
+++ b/packages/sessions/create-session.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- requests of a session run sequentially */
 import type {Caller} from './caller.ts';
 import type {ClientAnswer} from './client-answer.ts';
 import type {ClientRequest} from './client-request.ts';
@@ -12,20 +12,20 @@
 
 type Options = {
 	readonly context: SessionContext;
-	/** Number of the session, for logs. */
+	/** Number that identifies the session in logs. */
 	readonly number: number;
 	readonly send: (answer: ClientAnswer) => void;
-	/** Closes the connection after what was sent. */
+	/** Closes the connection after all sent messages are written. */
 	readonly close: () => void;
 };
 
 type StatementRequest = Extract<ClientRequest, {readonly kind: 'statement'}>;
 
-/** Creates the session of a caller that has just connected. */
+/** Creates the session of a caller that has just connected; its requests run one at a time, in the order received. */
 export function createSession({context, number, send, close}: Options): Session {
-	const waiting: ClientRequest[] = [];
-	let opened: Caller | undefined;
-	const runner = createStatementRunner({context, findCaller: () => opened});
+	const queue: ClientRequest[] = [];
+	let caller: Caller | undefined;
+	const runner = createStatementRunner({context, findCaller: () => caller});
 	let isRunning = false;
 	let isClosed = false;
 	let isStopping = false;
@@ -38,7 +38,7 @@
 		}
 	};
 
-	const answer = (outcome: StatementOutcome) => {
+	const sendAnswer = (outcome: StatementOutcome) => {
 		if (!isClosed) {
 			send({kind: 'answered', outcome, state: runner.state()});
 		}
@@ -57,7 +57,7 @@
 			return;
 		}
 
-		opened = {database, keyDigest};
+		caller = {database, keyDigest};
 		send({kind: 'started'});
 	};
 
@@ -65,13 +65,13 @@
 		const startedAt = context.now().steady;
 		const trace = createStatementTrace();
 		const outcome = await runner.run(request, trace);
-		answer(outcome);
-		const access = opened && context.findAccess(opened);
+		sendAnswer(outcome);
+		const access = caller && context.findAccess(caller);
 		context.onAnswered({
 			id: request.id,
 			session: number,
 			kind: request.statement.kind,
-			database: opened?.database ?? '',
+			database: caller?.database ?? '',
 			workspace: access?.kind === 'allowed' ? access.workspace : '',
 			outcome,
 			elapsed: context.now().steady - startedAt,
@@ -79,13 +79,13 @@
 		});
 	};
 
-	const handle = async (request: ClientRequest) => {
+	const handleRequest = async (request: ClientRequest) => {
 		switch (request.kind) {
 			case 'start': {
-				if (opened === undefined) {
+				if (caller === undefined) {
 					start(request.database, request.key);
 				} else {
-					answer(createFailure('malformed', 'The session has been started already'));
+					sendAnswer(createFailure('malformed', 'The session has been started already'));
 				}
 
 				break;
@@ -97,13 +97,13 @@
 			}
 
 			case 'malformed': {
-				context.log.warn({session: number, reason: request.reason}, 'session: A message cannot be read.');
-				answer(createFailure('malformed', request.reason));
+				context.log.warn({session: number, reason: request.reason}, 'session: The caller sent a message that cannot be parsed.');
+				sendAnswer(createFailure('malformed', request.reason));
 				break;
 			}
 
 			case 'broken': {
-				context.log.warn({session: number, reason: request.reason}, 'session: The connection is closed, since its messages cannot be told apart.');
+				context.log.warn({session: number, reason: request.reason}, 'session: The host closes the connection because of a framing error.');
 				send({kind: 'rejected', outcome: createFailure('tooBig', request.reason)});
 				closeSession();
 				break;
@@ -116,10 +116,10 @@
 		}
 	};
 
-	const drain = async () => {
+	const processQueue = async () => {
 		isRunning = true;
-		for (let request = waiting.shift(); request !== undefined && !isClosed; request = waiting.shift()) { // eslint-disable-line no-unmodified-loop-condition -- a statement may close the session
-			await handle(request);
+		for (let request = queue.shift(); request !== undefined && !isClosed; request = queue.shift()) { // eslint-disable-line no-unmodified-loop-condition -- a statement may close the session
+			await handleRequest(request);
 		}
 
 		isRunning = false;
@@ -130,9 +130,9 @@
 
 	return {
 		receive(request) {
-			waiting.push(request);
+			queue.push(request);
 			if (!isRunning) {
-				void drain();
+				void processQueue();
 			}
 		},
 		end() {
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -20,28 +20,28 @@
 
 type Options = {
 	readonly context: SessionContext;
-	/** What the caller named when it started the session; undefined before. */
+	/** Returns the database and key that the caller started the session with; undefined before the start. */
 	readonly findCaller: () => Caller | undefined;
 };
 
-/** What runs the statements of one session, one after the other. */
+/** Runs the statements of one session sequentially. */
 type StatementRunner = {
 	readonly run: (request: StatementRequest, trace: StatementTrace) => Promise<StatementOutcome>;
 	readonly state: () => SessionState;
-	/** Rolls back what is open, since the session is over. */
+	/** Rolls back the open transaction, if any, when the session ends. */
 	readonly end: () => void;
 };
 
 type StatementRequest = Extract<ClientRequest, {readonly kind: 'statement'}>;
 
-/** Creates what runs the statements of a session: single ones, and those of its transactions. */
+/** Creates the runner for the statements of a session, both single statements and those in transactions. */
 export function createStatementRunner({context, findCaller}: Options): StatementRunner {
 	const setup: SessionSetup = {variables: new Map(), prepared: new Map()};
 	let transaction: Transaction | undefined;
 	let state: SessionState = 'idle';
 	let lastWrite: LastWrite | undefined;
 
-	/** Prepares the running of a statement; refuses it if the caller may not use the database now. */
+	/** Creates the operation for a statement, or a failure if the caller has no access to the database now. */
 	const createOperation = (trace: StatementTrace): Operation | StatementOutcome => {
 		const caller = findCaller();
 		const access = caller && context.findAccess(caller);
@@ -78,13 +78,13 @@
 		};
 	};
 
-	/** Ends a failed transaction, as the caller has asked for. */
-	const leaveFailed = (kind: 'commit' | 'rollback'): StatementOutcome => {
+	/** Ends a failed transaction on the caller's commit or rollback; a commit fails. */
+	const endFailedTransaction = (kind: 'commit' | 'rollback'): StatementOutcome => {
 		state = 'idle';
 		return kind === 'rollback' ? emptyResult : createFailure('aborted', 'The transaction had failed and is rolled back');
 	};
 
-	/** Prepares a new operation, which counts against the workspace's rate; a refusal if it may not run now. */
+	/** Creates an operation that counts against the workspace's rate limit, or a failure if the operation may not run now. */
 	const admitOperation = async (trace: StatementTrace): Promise<Operation | StatementOutcome> => {
 		const operation = createOperation(trace);
 		if (!('group' in operation)) {
@@ -128,8 +128,8 @@
 		return outcome;
 	};
 
-	/** Has the way to the primary made sure while the workspace's share is asked for. */
-	const reachPrimary = () => {
+	/** Checks the primary's gateway ahead of a write, while the rate limit is being checked. */
+	const checkPrimaryGateway = () => {
 		const caller = findCaller();
 		const access = caller && context.findAccess(caller);
 		const group = access?.kind === 'allowed' ? context.findGroup(access.route.group) : undefined;
@@ -141,7 +141,7 @@
 
 	const runSingle = async (query: Query, trace: StatementTrace): Promise<StatementOutcome> => {
 		if (query.access === 'write') {
-			reachPrimary();
+			checkPrimaryGateway();
 		}
 
 		const operation = await admitOperation(trace);
@@ -173,7 +173,7 @@
 		if (state === 'failed') {
 			if (statement.kind === 'commit' || statement.kind === 'rollback') {
 				transaction = undefined;
-				return leaveFailed(statement.kind);
+				return endFailedTransaction(statement.kind);
 			}
 
 			const reason = transaction?.endReason();
--- a/packages/sessions/create-statement-trace.test.ts
+++ b/packages/sessions/create-statement-trace.test.ts
@@ -2,7 +2,7 @@
 import {createStatementTrace} from './create-statement-trace.ts';
 
 describe('createStatementTrace', () => {
-	it('adds up the parts of all tries', () => {
+	it('sums the spans of all attempts', () => {
 		const trace = createStatementTrace();
 		const job = {
 			way: 4, queue: 1, open: 0, setup: 0, instance: 30,
--- a/packages/sessions/create-statement-trace.ts
+++ b/packages/sessions/create-statement-trace.ts
@@ -1,7 +1,7 @@
 import type {JobSpans} from './job-spans.ts';
 import type {StatementTrace} from './statement-trace.ts';
 
-/** Creates the trace of a statement that has just arrived. */
+/** Creates an empty trace. */
 export function createStatementTrace(): StatementTrace {
 	const steps: string[] = [];
 	const spans = new Map<Parameters<StatementTrace['addSpan']>[0], number>();
--- a/packages/sessions/create-transaction.ts
+++ b/packages/sessions/create-transaction.ts
@@ -10,42 +10,42 @@
 
 type Options = {
 	readonly isReadOnly: boolean;
-	/** Called when the transaction is ended because it stood idle. */
+	/** Called when the transaction is rolled back because of the idle timeout. */
 	readonly onIdle: () => void;
-	/** Milliseconds for which it may stand idle. */
+	/** Milliseconds without a statement after which the transaction is rolled back. */
 	readonly idleLimit: number;
 };
 
-type Opened = Extract<Awaited<ReturnType<typeof openTransaction>>, {readonly kind: 'opened'}>;
+type OpenedTransaction = Extract<Awaited<ReturnType<typeof openTransaction>>, {readonly kind: 'opened'}>;
 
 /**
- * Creates a transaction; an instance hears of it with its first statement.
+ * Creates a transaction, which begins on an instance with its first statement.
  *
- * Nothing of it is kept unless its commit was sent. So until then every failure is a promise, and after it a
- * lost answer is not.
+ * Nothing is kept before the commit is sent, so any earlier failure is reported as `aborted`: no write took effect.
+ * If the answer to a commit with writes is lost, the outcome is `unknown`.
  */
 export function createTransaction({isReadOnly, onIdle, idleLimit}: Options): Transaction {
-	let opened: Opened | undefined;
-	let isOver = false;
+	let opened: OpenedTransaction | undefined;
+	let hasEnded = false;
 	let hasWritten = false;
-	let endedBecause: string | undefined;
+	let endReason: string | undefined;
 	let idleTimer: NodeJS.Timeout | undefined;
 
-	const finish = async () => {
+	const endWithRollback = async () => {
 		clearTimeout(idleTimer);
-		isOver = true;
-		const last = opened;
+		hasEnded = true;
+		const ended = opened;
 		opened = undefined;
-		if (last !== undefined) {
-			await last.runner({kind: 'rollback', transaction: last.transaction}, () => true);
+		if (ended !== undefined) {
+			await ended.runner({kind: 'rollback', transaction: ended.transaction}, () => true);
 		}
 	};
 
 	const startIdleTimer = () => {
 		clearTimeout(idleTimer);
 		idleTimer = setTimeout(() => {
-			endedBecause = `The transaction stood idle for ${idleLimit} ms`;
-			void finish();
+			endReason = `The transaction stood idle for ${idleLimit} ms`;
+			void endWithRollback();
 			onIdle();
 		}, idleLimit);
 	};
@@ -55,24 +55,24 @@
 			return undefined;
 		}
 
-		const begun = await openTransaction(operation, isReadOnly);
-		if (begun.kind === 'failed') {
-			isOver = true;
-			return begun.outcome;
+		const result = await openTransaction(operation, isReadOnly);
+		if (result.kind === 'failed') {
+			hasEnded = true;
+			return result.outcome;
 		}
 
-		opened = begun;
+		opened = result;
 		return undefined;
 	};
 
 	const isLeased = ({group}: Operation) => opened?.epoch === undefined || hasLease(group, opened.epoch);
 
 	const abort = (reason: string) => {
-		void finish();
+		void endWithRollback();
 		return createFailure('aborted', reason);
 	};
 
-	const judge = (answer: JobAnswer): StatementOutcome => {
+	const evaluateAnswer = (answer: JobAnswer): StatementOutcome => {
 		if (answer.kind !== 'answered') {
 			return abort(answer.kind === 'lost' ? answer.reason : `The statement was not sent: ${answer.reason}`);
 		}
@@ -84,7 +84,7 @@
 		const outcome = answer.outcome.kind === 'failed' && answer.outcome.code !== 'unknownStatement'
 			? answer.outcome
 			: createFailure('aborted', 'The instance ended the transaction');
-		void finish();
+		void endWithRollback();
 		return outcome;
 	};
 
@@ -100,13 +100,13 @@
 			const {instance, runner, transaction} = opened;
 			const answer = await runner({
 				...createJobBase(operation), kind: 'within', transaction, setup: operation.setup, query,
-			}, () => operation.isAllowed() && !isOver && (isReadOnly || isLeased(operation)));
+			}, () => operation.isAllowed() && !hasEnded && (isReadOnly || isLeased(operation)));
 			operation.trace.addStep(`${instance.listed().id}: ${describeAnswer(answer)}`);
 			if (answer.kind === 'answered') {
 				operation.trace.addJobSpans(answer.spans);
 			}
 
-			const outcome = judge(answer);
+			const outcome = evaluateAnswer(answer);
 			if (outcome.kind === 'done') {
 				startIdleTimer();
 			}
@@ -125,7 +125,7 @@
 			}
 
 			const {instance, runner, transaction, epoch} = opened;
-			const askedAt = operation.context.now();
+			const requestedAt = operation.context.now();
 			const answer = await runner({
 				...createJobBase(operation), kind: 'commit', transaction, id, text,
 			}, operation.isAllowed);
@@ -134,7 +134,7 @@
 				return abort(`The commit was not sent: ${answer.reason}`);
 			}
 
-			isOver = true;
+			hasEnded = true;
 			opened = undefined;
 			if (answer.kind === 'lost') {
 				return hasWritten
@@ -155,13 +155,13 @@
 				return createFailure('unknown', 'The primary was replaced while the commit ran');
 			}
 
-			operation.group.noteAnswer(instance.listed().id, answer, {at: askedAt, epoch});
+			operation.group.noteAnswer(instance.listed().id, answer, {at: requestedAt, epoch});
 			operation.setLastWrite({epoch, position: answer.position});
 			return answer.outcome;
 		},
 		rollBack() {
-			void finish();
+			void endWithRollback();
 		},
-		endReason: () => endedBecause,
+		endReason: () => endReason,
 	};
 }
--- a/packages/sessions/describe-answer.ts
+++ b/packages/sessions/describe-answer.ts
@@ -1,6 +1,6 @@
 import type {JobAnswer} from './job-answer.ts';
 
-/** Words the answer to a job for the trace of a statement. */
+/** Describes the answer to a job for the trace of a statement. */
 export function describeAnswer(answer: JobAnswer): string {
 	switch (answer.kind) {
 		case 'answered': {
--- a/packages/sessions/encode-query.ts
+++ b/packages/sessions/encode-query.ts
@@ -4,7 +4,11 @@
 import type {SessionSetup} from './session-setup.ts';
 import type {Query} from './query.ts';
 
-/** Encodes query for a connection; a prepared statement goes by the name that it has there. */
+/**
+ * Encodes a query as a request on a connection.
+ *
+ * A prepared statement is executed by its name on that connection. Without such a name the original text is forwarded.
+ */
 export function encodeQuery(query: Query, {pooled, setup, after}: {readonly pooled: PooledLink; readonly setup: SessionSetup; readonly after: LogPoint | undefined}): InstanceRequest {
 	const {id, text, execute} = query;
 	const statement = execute && setup.prepared.get(execute.name);
--- a/packages/sessions/failure-code.ts
+++ b/packages/sessions/failure-code.ts
@@ -1,8 +1,8 @@
 /**
- * Why a statement did not succeed.
+ * Code of the reason why a statement failed.
  *
- * `busy`, `aborted`, `lagging`, `readOnly`, `moved` and `tooManyConnections` promise that nothing of the attempt
- * is kept. `unknown`, `timeout` and `failed` promise nothing.
+ * `busy`, `aborted`, `lagging`, `readOnly`, `moved` and `tooManyConnections` guarantee that the attempt had no effect.
+ * With `unknown`, `timeout` and `failed` the attempt may have taken effect.
  */
 export type FailureCode =
 	| 'busy'
--- a/packages/sessions/find-required-position.test.ts
+++ b/packages/sessions/find-required-position.test.ts
@@ -9,25 +9,25 @@
 	const samples = [sample(0, 10), sample(500, 20), sample(1000, 30)];
 	const cases = [
 		{
-			name: 'takes the oldest sample that is young enough', samples, maxStaleness: 1500, lastWrite: undefined, arrivedAt: 1900, expected: point(1, 20),
+			name: 'takes the oldest sample within the staleness limit', samples, maxStaleness: 1500, lastWrite: undefined, arrivedAt: 1900, expected: point(1, 20),
 		},
 		{
-			name: 'leaves a margin for the way of the first byte', samples, maxStaleness: 1500, lastWrite: undefined, arrivedAt: 1950, expected: point(1, 30),
+			name: 'subtracts a margin for the transfer of the request', samples, maxStaleness: 1500, lastWrite: undefined, arrivedAt: 1950, expected: point(1, 30),
 		},
 		{
-			name: 'finds nothing when all samples are too old', samples, maxStaleness: 1500, lastWrite: undefined, arrivedAt: 2500, expected: undefined,
+			name: 'returns undefined when all samples are too old', samples, maxStaleness: 1500, lastWrite: undefined, arrivedAt: 2500, expected: undefined,
 		},
 		{
-			name: 'holds a write of the session', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 25)}, arrivedAt: 1400, expected: point(1, 25),
+			name: 'requires the last write of the session', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 25)}, arrivedAt: 1400, expected: point(1, 25),
 		},
 		{
-			name: 'does not go below the age for an old write of the session', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 5)}, arrivedAt: 1900, expected: point(1, 20),
+			name: 'requires the oldest sample when the last write of the session is older', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 5)}, arrivedAt: 1900, expected: point(1, 20),
 		},
 		{
-			name: 'replaces a write of an earlier primary by the newest sample, since it may be gone', samples, maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: point(1, 30),
+			name: 'requires the newest sample when the last write has an earlier epoch, since a failover may have lost it', samples, maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: point(1, 30),
 		},
 		{
-			name: 'asks the primary when no sample follows a write of an earlier primary', samples: [], maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: undefined,
+			name: 'returns undefined when the last write has an earlier epoch and there is no sample', samples: [], maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: undefined,
 		},
 	];
 	for (const {name, expected, arrivedAt, ...read} of cases) {
--- a/packages/sessions/find-required-position.ts
+++ b/packages/sessions/find-required-position.ts
@@ -4,36 +4,37 @@
 import type {PositionSample} from './position-sample.ts';
 import type {LastWrite} from './last-write.ts';
 
-type Read = {
+type ReadConstraints = {
 	readonly samples: readonly PositionSample[];
-	/** Epoch that the samples are of. */
+	/** Epoch of the primary that answered the samples. */
 	readonly epoch: number;
-	/** Milliseconds; age that the read may have. */
+	/** Largest staleness of the read in milliseconds. */
 	readonly maxStaleness: number;
-	/** Last write that the session must see. */
+	/** Last write of the session, which the read must see. */
 	readonly lastWrite: LastWrite | undefined;
-	/** When the read arrived. */
+	/** When the host received the read. */
 	readonly arrivedAt: Instant;
 };
 
-/** Milliseconds; a read is held to a little less than its age, since its first byte left the caller before it arrived. */
-const stalenessMargin = 60;
+/** Milliseconds subtracted from the allowed staleness, which counts from the caller's first byte, sent before the read arrived. */
+const stalenessMarginMs = 60;
 
 /**
- * Finds the position that a log must hold for a read to be fresh enough.
+ * Finds the position that an instance's log must have reached to serve a read within its staleness limit.
  *
- * The oldest sample that is young enough asks the least of replicas. A write of an earlier epoch may have been
- * dropped with its primary; the newest sample of this epoch holds all of it that is left.
+ * Takes the oldest sample within the limit, because more replicas satisfy it, or the session's last write if that is
+ * newer. If the last write belongs to an earlier epoch, a failover may have lost it. The newest sample of the current
+ * epoch covers whatever survived.
  *
- * @returns Undefined when no sample is young enough.
+ * @returns Undefined if no sample is within the limit.
  */
-export function findRequiredPosition({samples, epoch, maxStaleness, lastWrite, arrivedAt}: Read): LogPoint | undefined {
+export function findRequiredPosition({samples, epoch, maxStaleness, lastWrite, arrivedAt}: ReadConstraints): LogPoint | undefined {
 	if (lastWrite !== undefined && lastWrite.epoch !== epoch) {
 		const newest = samples.at(-1);
-		return newest !== undefined && isYoung(newest, maxStaleness, arrivedAt) ? newest.position : undefined;
+		return newest !== undefined && isRecentEnough(newest, maxStaleness, arrivedAt) ? newest.position : undefined;
 	}
 
-	const oldest = samples.find(sample => isYoung(sample, maxStaleness, arrivedAt));
+	const oldest = samples.find(sample => isRecentEnough(sample, maxStaleness, arrivedAt));
 	if (oldest === undefined || lastWrite === undefined) {
 		return oldest?.position;
 	}
@@ -41,6 +42,6 @@
 	return comparePoints(lastWrite.position, oldest.position) > 0 ? lastWrite.position : oldest.position;
 }
 
-function isYoung(sample: PositionSample, maxStaleness: number, arrivedAt: Instant): boolean {
-	return findElapsed(sample.requestedAt, arrivedAt) <= maxStaleness - stalenessMargin;
+function isRecentEnough(sample: PositionSample, maxStaleness: number, arrivedAt: Instant): boolean {
+	return findElapsed(sample.requestedAt, arrivedAt) <= maxStaleness - stalenessMarginMs;
 }
--- a/packages/sessions/is-position-sample-due.ts
+++ b/packages/sessions/is-position-sample-due.ts
@@ -1,32 +1,34 @@
 import {proofPeriod} from './proof-period.ts';
 
 type Options = {
-	/** Milliseconds since the primary was last known to be asked for its position. */
+	/** Milliseconds since the newest known sample was requested from the primary, by this or another host. */
 	readonly age: number;
-	/** Whether this host reads the store, and tells others the positions with what it read. */
+	/** Whether this host reads the store and reports positions to other hosts along with the rows. */
 	readonly isStoreReader: boolean;
-	/** Whether callers lately wanted to read at replicas. */
+	/** Whether callers recently sent reads that replicas may serve. */
 	readonly hasReplicaReads: boolean;
-	/** Steady milliseconds. */
+	/** Current time in steady milliseconds. */
 	readonly now: number;
 };
 
-/** Milliseconds between two samples at the most, for a host that tells others. */
-const readingInterval = 500;
+/** Longest interval between samples in milliseconds on a host that reports positions. */
+const storeReaderIntervalMs = 500;
 
-/** Part of a period after which a sample is just in time to be told with the next proof, and its least age then. */
-const lastPart = 0.8;
-const leastAge = 250;
+/** Fraction of the proof period after which a host that reports positions takes a fresh sample for the next report. */
+const preReportFraction = 0.8;
 
-/** Milliseconds without a sample after which a host that is told them asks itself; a little less than reads may be old. */
-const toldInterval = 1300;
+/** Smallest age in milliseconds at which the last sample is replaced before a report, so that each report takes one sample. */
+const preReportMinAgeMs = 250;
 
-/** Whether the primary is to be asked for its position now. */
+/** Milliseconds without a reported sample after which a receiving host asks the primary; slightly less than the staleness of reads. */
+const receiverIntervalMs = 1300;
+
+/** Whether the host asks the primary for its log position now. */
 export function isPositionSampleDue({age, isStoreReader, hasReplicaReads, now}: Options): boolean {
 	if (!isStoreReader) {
-		return hasReplicaReads && age >= toldInterval;
+		return hasReplicaReads && age >= receiverIntervalMs;
 	}
 
-	const isAboutToTell = now % proofPeriod >= lastPart * proofPeriod;
-	return age >= readingInterval || (isAboutToTell && age >= leastAge);
+	const isReportDue = now % proofPeriod >= preReportFraction * proofPeriod;
+	return age >= storeReaderIntervalMs || (isReportDue && age >= preReportMinAgeMs);
 }
--- a/packages/sessions/last-write.ts
+++ b/packages/sessions/last-write.ts
@@ -1,8 +1,8 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 
-/** The last write of a session, which its later reads must see. */
+/** The last acknowledged write of a session, which its later reads must see (read your writes). */
 export type LastWrite = {
-	/** Epoch of the primary that acknowledged it. */
+	/** Epoch of the primary that acknowledged the write. */
 	readonly epoch: number;
 	readonly position: LogPoint;
 };
--- a/packages/sessions/log-line-budget.ts
+++ b/packages/sessions/log-line-budget.ts
@@ -1,6 +1,6 @@
-/** How many log lines were written in the present second, and how many were left out since the last report. */
+/** Counts of log lines written in the current one-second window, and dropped since the last line that reported them. */
 export type LogLineBudget = {
-	/** Steady milliseconds at which the present second began. */
+	/** Start of the current window in steady milliseconds. */
 	readonly startedAt: number;
 	readonly written: number;
 	readonly dropped: number;
--- a/packages/sessions/open-transaction.ts
+++ b/packages/sessions/open-transaction.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- attempts run sequentially */
 import {chooseTarget} from './choose-target.ts';
 import {createBusyFailure} from './create-busy-failure.ts';
 import {createJobBase} from './create-job-base.ts';
@@ -11,29 +11,29 @@
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {Target} from './target.ts';
 
-/** A transaction that has begun. */
-type Opened = {
+/** A transaction that has begun on an instance. */
+type OpenedTransaction = {
 	readonly kind: 'opened';
 	readonly instance: InstanceRuntime;
-	/** Number of the transaction where it was begun. */
+	/** Number that identifies the transaction on the host that runs it. */
 	readonly transaction: number;
 	/** Runs the jobs of the transaction. */
 	readonly runner: JobRunner;
-	/** Epoch of the primary that it relies on; undefined on a replica. */
+	/** Epoch of the lease on the primary; undefined for a transaction on a replica. */
 	readonly epoch: number | undefined;
 };
 
-/** Times that a transaction is begun on instances at most. */
-const attemptsLimit = 5;
+/** Largest number of attempts to begin a transaction. */
+const maxAttempts = 5;
 
-/** Begins a transaction on an instance that may serve it; one that only reads may go to a replica. */
-export async function openTransaction(operation: Operation, isReadOnly: boolean): Promise<Opened | {readonly kind: 'failed'; readonly outcome: StatementOutcome}> {
+/** Begins a transaction on the primary, or on a replica if the transaction is read-only; retries on other instances. */
+export async function openTransaction(operation: Operation, isReadOnly: boolean): Promise<OpenedTransaction | {readonly kind: 'failed'; readonly outcome: StatementOutcome}> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
 	let outcome: StatementOutcome = createBusyFailure('No instance can begin the transaction', 100);
-	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
-		const left = deadline - context.now().steady;
-		const target = left > 0 ? await chooseTarget(operation, {isReadOnly, tried, left}) : undefined;
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		const remainingMs = deadline - context.now().steady;
+		const target = remainingMs > 0 ? await chooseTarget(operation, {isReadOnly, tried, remainingMs}) : undefined;
 		if (target === undefined) {
 			break;
 		}
@@ -42,22 +42,22 @@
 			tried.add(target.instance.listed().id);
 		}
 
-		const begun = await tryTarget(operation, target, isReadOnly);
-		if (begun.kind === 'opened') {
-			return begun;
+		const result = await tryTarget(operation, target, isReadOnly);
+		if (result.kind === 'opened') {
+			return result;
 		}
 
-		({outcome} = begun);
+		({outcome} = result);
 	}
 
 	return {kind: 'failed', outcome};
 }
 
-async function tryTarget(operation: Operation, target: Target, isReadOnly: boolean): Promise<Opened | {readonly kind: 'failed'; readonly outcome: StatementOutcome}> {
+async function tryTarget(operation: Operation, target: Target, isReadOnly: boolean): Promise<OpenedTransaction | {readonly kind: 'failed'; readonly outcome: StatementOutcome}> {
 	const {context, group} = operation;
 	const {instance, after, epoch} = target;
 	const {id} = instance.listed();
-	const askedAt: Instant = context.now();
+	const requestedAt: Instant = context.now();
 	const {answer, runner} = await instance.run({
 		...createJobBase(operation), kind: 'begin', setup: operation.setup, isReadOnly, after, idleLimit: context.transactionIdleLimit(),
 	}, () => operation.isAllowed() && (epoch === undefined || hasLease(group, epoch)));
@@ -65,7 +65,7 @@
 	if (answer.kind === 'answered' && answer.transaction !== undefined) {
 		operation.trace.addJobSpans(answer.spans);
 		if (epoch !== undefined) {
-			group.noteAnswer(id, answer, {at: askedAt, epoch});
+			group.noteAnswer(id, answer, {at: requestedAt, epoch});
 		}
 
 		return {
--- a/packages/sessions/position-sample.ts
+++ b/packages/sessions/position-sample.ts
@@ -2,11 +2,12 @@
 import type {Instant} from './instant.ts';
 
 /**
- * An answer of the primary: all that was acknowledged before `askedAt` is at `position` or before it.
+ * A position in the log of the primary: all writes acknowledged before `requestedAt` are at or before `position`.
  *
- * Holds only if the host's lease on the primary was valid at `askedAt`.
+ * This holds only if the host's lease on the primary was valid at `requestedAt`.
  */
 export type PositionSample = {
+	/** When the host asked the primary. */
 	readonly requestedAt: Instant;
 	readonly position: LogPoint;
 };
--- a/packages/sessions/query.ts
+++ b/packages/sessions/query.ts
@@ -1,8 +1,8 @@
-/** A read or write of a caller, to be run on an instance. */
+/** A read or write of a caller that runs on an instance. */
 export type Query = {
 	readonly id: string;
 	readonly text: string;
 	readonly access: 'read' | 'write';
-	/** Name of the prepared statement, and its arguments, if it runs one. */
+	/** Name and arguments of the prepared statement that the query executes; undefined for a query without one. */
 	readonly execute: {readonly name: string; readonly parameters: string} | undefined;
 };
--- a/packages/sessions/rank-readers.test.ts
+++ b/packages/sessions/rank-readers.test.ts
@@ -14,14 +14,14 @@
 
 describe('rankReaders', () => {
 	const cases = [
-		{name: 'takes the replica of the own zone', given: [remote, primary, replica], expected: 'replica'},
-		{name: 'leaves the own zone when its replica is slow', given: [{...replica, health: {...health, latency: 300}}, remote], expected: 'remote'},
-		{name: 'leaves the own zone when its connections are full', given: [{...replica, load: 3}, remote], expected: 'remote'},
-		{name: 'avoids an instance that failed a moment ago', given: [{...replica, health: {...health, avoidedUntil: 200}}, remote], expected: 'remote'},
-		{name: 'avoids an instance that answers nothing, as when it went dark', given: [{...replica, health: {...health, unansweredSince: -200}}, remote], expected: 'remote'},
-		{name: 'avoids a replica that lacked an older position a moment ago', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'primary'},
-		{name: 'tries a replica again that lacked a newer position', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(50)}}}, primary], expected: 'replica'},
-		{name: 'trusts what a replica has shown since', given: [{...replica, health: {...health, position: point(10), lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'replica'},
+		{name: 'prefers the replica in the same zone', given: [remote, primary, replica], expected: 'replica'},
+		{name: 'prefers another zone when the local replica is slow', given: [{...replica, health: {...health, latency: 300}}, remote], expected: 'remote'},
+		{name: 'prefers another zone when the connection pool of the local replica is overloaded', given: [{...replica, load: 3}, remote], expected: 'remote'},
+		{name: 'avoids an instance that failed recently', given: [{...replica, health: {...health, avoidedUntil: 200}}, remote], expected: 'remote'},
+		{name: 'avoids an unresponsive instance', given: [{...replica, health: {...health, unansweredSince: -200}}, remote], expected: 'remote'},
+		{name: 'avoids a replica that recently lacked an older position', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'primary'},
+		{name: 'tries a replica that lacked only a newer position', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(50)}}}, primary], expected: 'replica'},
+		{name: 'tries a replica that has since reached the required position', given: [{...replica, health: {...health, position: point(10), lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'replica'},
 	];
 	for (const {name, given, expected} of cases) {
 		it(name, () => {
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -2,53 +2,57 @@
 import type {ReadCandidate} from './read-candidate.ts';
 
 type Options = {
-	/** Position that the log must hold. */
+	/** Position that the log must have reached. */
 	readonly required: LogPoint;
-	/** Steady milliseconds. */
+	/** Current time in steady milliseconds. */
 	readonly now: number;
 };
 
-/** Milliseconds that a read may take longer before it goes to another zone; bytes between zones are dear. */
-const remotePenalty = 40;
+/** Milliseconds added for an instance in another zone, because traffic between zones is expensive. */
+const remoteZonePenaltyMs = 40;
 
-/** Milliseconds that a read may take longer before it goes to the primary, which writes need. */
-const primaryPenalty = 30;
+/** Milliseconds added for the primary, to keep its capacity for writes. */
+const primaryPenaltyMs = 30;
 
-/** Milliseconds for which an instance that lacked a position is taken to lack it still. */
-const lagMemory = 150;
+/** Milliseconds after a lag report during which the instance is assumed to lag still. */
+const lagRetentionMs = 150;
 
-/** Milliseconds; cost of an instance that lately lacked an older position than the required one. */
-const laggingPenalty = 2000;
+/** Milliseconds added for an instance that recently lacked the required position or an older one. */
+const laggingPenaltyMs = 2000;
 
-/** Milliseconds; cost of an instance that failed a moment ago. */
-const avoidedPenalty = 5000;
+/** Milliseconds added for an instance that is avoided after a recent failure. */
+const avoidedPenaltyMs = 5000;
 
-/** Milliseconds without any answer to something sent after which an instance is held to be in trouble. */
-const silenceLimit = 250;
+/** Milliseconds that a request may stay unanswered before the instance counts as unresponsive. */
+const silenceLimitMs = 250;
 
-/** Milliseconds; cost of an instance that lately answered nothing. */
-const silentPenalty = 400;
+/** Milliseconds added for an unresponsive instance. */
+const silentPenaltyMs = 400;
 
-/** Ranks the instances that may serve a read, the one that is expected to answer soonest first. */
+/**
+ * Ranks the instances that may serve a read by their cost, lowest first.
+ *
+ * The cost in milliseconds is the smoothed latency, scaled by the load of the connection pool, plus penalties.
+ */
 export function rankReaders(candidates: readonly ReadCandidate[], options: Options): readonly ReadCandidate[] {
 	return candidates
-		.map(candidate => ({candidate, cost: findCost(candidate, options)}))
-		.toSorted((a, b) => a.cost - b.cost)
+		.map(candidate => ({candidate, costMs: findCostMs(candidate, options)}))
+		.toSorted((a, b) => a.costMs - b.costMs)
 		.map(({candidate}) => candidate);
 }
 
-function findCost({isSameZone, isPrimary, health, load}: ReadCandidate, {required, now}: Options): number {
-	let cost = health.latency * (1 + load);
-	cost += isSameZone ? 0 : remotePenalty;
-	cost += isPrimary ? primaryPenalty : 0;
-	cost += health.avoidedUntil > now ? avoidedPenalty : 0;
-	cost += health.unansweredSince !== undefined && now - health.unansweredSince > silenceLimit ? silentPenalty : 0;
-	cost += isBehind(health, required, now) ? laggingPenalty : 0;
-	return cost;
+function findCostMs({isSameZone, isPrimary, health, load}: ReadCandidate, {required, now}: Options): number {
+	let costMs = health.latency * (1 + load);
+	costMs += isSameZone ? 0 : remoteZonePenaltyMs;
+	costMs += isPrimary ? primaryPenaltyMs : 0;
+	costMs += health.avoidedUntil > now ? avoidedPenaltyMs : 0;
+	costMs += health.unansweredSince !== undefined && now - health.unansweredSince > silenceLimitMs ? silentPenaltyMs : 0;
+	costMs += isLikelyLagging(health, required, now) ? laggingPenaltyMs : 0;
+	return costMs;
 }
 
-function isBehind({lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
-	if (lagged === undefined || now - lagged.at > lagMemory) {
+function isLikelyLagging({lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
+	if (lagged === undefined || now - lagged.at > lagRetentionMs) {
 		return false;
 	}
 
--- a/packages/sessions/read-candidate.ts
+++ b/packages/sessions/read-candidate.ts
@@ -3,9 +3,10 @@
 /** An instance that may serve a read. */
 export type ReadCandidate = {
 	readonly id: string;
+	/** Whether the instance is in the zone of this host. */
 	readonly isSameZone: boolean;
 	readonly isPrimary: boolean;
 	readonly health: InstanceHealth;
-	/** Connections in use and sessions waiting for one, over the connections of the pool. */
+	/** Connections in use plus sessions waiting for one, divided by the size of the connection pool. */
 	readonly load: number;
 };
--- a/packages/sessions/route.ts
+++ b/packages/sessions/route.ts
@@ -1,18 +1,21 @@
-/** How the statements that name a database are served. */
+/** How the host serves the statements for a database. */
 export type Route = {
-	/** Name that callers use. */
+	/** Name of the database as callers know it. */
 	readonly database: string;
-	/** Group of endpoint instances that holds the data. */
+	/** Name of the group of endpoint instances that holds the data. */
 	readonly group: string;
-	/** `latest`: the primary only; `bounded`: data of a bounded age; `session`: that, and all of the session's own writes. */
+	/**
+	 * `latest` reads from the primary only. `bounded` allows replicas within the staleness limit. `session` also requires
+	 * that reads see the session's own writes.
+	 */
 	readonly freshness: 'latest' | 'bounded' | 'session';
-	/** Milliseconds; age that a read may have. */
+	/** Largest staleness of a read in milliseconds. */
 	readonly maxStaleness: number;
-	/** Milliseconds for a single statement. */
+	/** Timeout of a single statement in milliseconds. */
 	readonly statementTimeout: number;
-	/** Milliseconds within which an operation should be over. */
+	/** Milliseconds within which an operation should finish. */
 	readonly targetLatency: number;
-	/** 0 is the most urgent. */
+	/** Priority of the statements; 0 is the highest. */
 	readonly priority: number;
 	/** Whether callers need no key. */
 	readonly isPublic: boolean;
--- a/packages/sessions/run-query.ts
+++ b/packages/sessions/run-query.ts
@@ -14,13 +14,13 @@
 	readonly query: Query;
 	readonly after: LogPoint | undefined;
 	readonly isInTransaction: boolean;
-	/** Milliseconds. */
+	/** Milliseconds to wait for each answer of the instance. */
 	readonly timeout: number;
-	/** Asked just before the query is sent. */
+	/** Called immediately before the query is sent; the query is not sent if it returns false. */
 	readonly maySend: () => boolean;
 };
 
-/** Runs query on a connection, after bringing that to the session's values. */
+/** Runs a query on a connection after applying the session's setup; closes the connection if that fails. */
 export async function runQuery(pooled: PooledLink, options: Options): Promise<JobAnswer> {
 	const {
 		send, setup, query, after, isInTransaction, timeout, maySend,
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- attempts run sequentially */
 import {chooseTarget} from './choose-target.ts';
 import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
@@ -10,25 +10,25 @@
 import type {Target} from './target.ts';
 import type {Query} from './query.ts';
 
-/** Times that a read is tried on instances at most. */
-const attemptsLimit = 6;
+/** Largest number of attempts for a read. */
+const maxAttempts = 6;
 
 /**
- * Runs a single read on an instance whose log is fresh enough.
+ * Runs a single read on an instance whose log meets the freshness of the route.
  *
- * A read that did not run, or whose answer was lost, is run again elsewhere.
+ * Retries on another instance if the read did not run or its answer was lost.
  */
 export async function runRead(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
 	let last: StatementOutcome = createBusyFailure('No instance can serve the read', 100);
-	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
-		const left = deadline - context.now().steady;
-		if (left <= 0) {
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		const remainingMs = deadline - context.now().steady;
+		if (remainingMs <= 0) {
 			break;
 		}
 
-		const target = await chooseTarget(operation, {isReadOnly: true, tried, left});
+		const target = await chooseTarget(operation, {isReadOnly: true, tried, remainingMs});
 		if (target === undefined) {
 			return last;
 		}
@@ -45,14 +45,14 @@
 	return last;
 }
 
-type Tried =
+type AttemptResult =
 	| {readonly kind: 'done'; readonly outcome: StatementOutcome}
 	| {readonly kind: 'failed'; readonly outcome: StatementOutcome; readonly isFinal: boolean};
 
-async function tryTarget(query: Query, operation: Operation, {instance, after, epoch}: Target): Promise<Tried> {
+async function tryTarget(query: Query, operation: Operation, {instance, after, epoch}: Target): Promise<AttemptResult> {
 	const {context, group} = operation;
 	const {id} = instance.listed();
-	const askedAt = context.now();
+	const requestedAt = context.now();
 	const {answer} = await instance.run({
 		...createJobBase(operation), kind: 'single', setup: operation.setup, query, after,
 	}, () => operation.isAllowed() && (epoch === undefined || hasLease(group, epoch)));
@@ -68,7 +68,7 @@
 
 	operation.trace.addJobSpans(answer.spans);
 	const view = group.primary();
-	group.noteAnswer(id, answer, {at: askedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
+	group.noteAnswer(id, answer, {at: requestedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
 	if (answer.outcome.kind === 'done') {
 		operation.trace.addStep(`${id}: done`);
 		return {kind: 'done', outcome: answer.outcome};
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- attempts run sequentially */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
@@ -12,28 +12,28 @@
 import {waitForUsefulPrimary} from './wait-for-useful-primary.ts';
 import type {Query} from './query.ts';
 
-/** Milliseconds between two tries of a write that did not run. */
-const retryDelay = 40;
+/** Milliseconds between two attempts of a write that did not run. */
+const retryDelayMs = 40;
 
-/** Times that a write that did not run is tried. */
-const attemptsLimit = 4;
+/** Largest number of attempts for a write; only a write that did not run is retried. */
+const maxAttempts = 4;
 
 /**
  * Runs a single write on the primary.
  *
- * It is sent once at the most, unless the instance says that it did not run. Success is passed on only while
- * the lease still holds: a primary that was replaced meanwhile may lose the write.
+ * The write is sent at most once, unless the instance confirms that the write did not run. Success is reported only
+ * while the lease is still held, because a primary that was replaced in the meantime may lose the write.
  */
 export async function runWrite(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, group, deadline} = operation;
 	let last: StatementOutcome = createBusyFailure('The write found no primary', 100);
-	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
-		const left = deadline - context.now().steady;
-		if (left <= 0) {
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		const remainingMs = deadline - context.now().steady;
+		if (remainingMs <= 0) {
 			break;
 		}
 
-		const view = await waitForUsefulPrimary(operation, left);
+		const view = await waitForUsefulPrimary(operation, remainingMs);
 		if (view.kind !== 'leased') {
 			operation.trace.addStep(`no primary (${view.reason})`);
 			return createBusyFailure(`The group has no primary now (${view.reason})`, view.retryAfter);
@@ -45,22 +45,22 @@
 		}
 
 		last = outcome.outcome;
-		await sleep(retryDelay);
+		await sleep(retryDelayMs);
 	}
 
 	return last;
 }
 
-type Tried = {readonly outcome: StatementOutcome; readonly isFinal: boolean};
+type AttemptResult = {readonly outcome: StatementOutcome; readonly isFinal: boolean};
 
-async function tryPrimary(query: Query, operation: Operation, {instance: id, epoch}: PrimaryView & {readonly kind: 'leased'}): Promise<Tried> {
+async function tryPrimary(query: Query, operation: Operation, {instance: id, epoch}: PrimaryView & {readonly kind: 'leased'}): Promise<AttemptResult> {
 	const {context, group} = operation;
 	const instance = group.findInstance(id);
 	if (instance === undefined) {
 		return {outcome: createBusyFailure(`The primary ${id} is not listed`, 200), isFinal: false};
 	}
 
-	const askedAt = context.now();
+	const requestedAt = context.now();
 	const {answer} = await instance.run({
 		...createJobBase(operation), kind: 'single', setup: operation.setup, query, after: undefined,
 	}, () => operation.isAllowed() && hasLease(group, epoch));
@@ -74,7 +74,7 @@
 	}
 
 	operation.trace.addJobSpans(answer.spans);
-	group.noteAnswer(id, answer, {at: askedAt, epoch});
+	group.noteAnswer(id, answer, {at: requestedAt, epoch});
 	if (answer.outcome.kind === 'failed') {
 		return hasNotRun(answer.outcome.code)
 			? {outcome: createBusyFailure(`The primary ${id} answered ${answer.outcome.code}`, 100), isFinal: false}
--- a/packages/sessions/session-context.ts
+++ b/packages/sessions/session-context.ts
@@ -6,7 +6,7 @@
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {StatementTrace} from './statement-trace.ts';
 
-/** A statement that was answered, for logs and metrics. */
+/** An answered statement, for logs and metrics. The names of the properties are the names of the log fields. */
 type AnsweredStatement = {
 	readonly id: string;
 	readonly session: number;
@@ -14,21 +14,21 @@
 	readonly database: string;
 	readonly workspace: string;
 	readonly outcome: StatementOutcome;
-	/** Milliseconds. */
+	/** Milliseconds from the arrival of the statement to its answer. */
 	readonly elapsed: number;
-	/** What was decided on the way, and where the time went. */
+	/** Decisions taken for the statement, and how long each phase took. */
 	readonly trace: Pick<StatementTrace, 'steps' | 'spans'>;
 };
 
-/** What sessions use of their host. */
+/** Functions of the host that sessions use. */
 export type SessionContext = {
 	readonly now: () => Instant;
-	/** Checks the route and the key by the newest configuration, if that is known to be fresh enough. */
+	/** Checks the route and the key against the newest configuration; denies access if that may be stale. */
 	readonly findAccess: (caller: Caller) => Access;
-	/** Milliseconds for which a transaction may stand idle. */
+	/** Returns the idle timeout of transactions in milliseconds. */
 	readonly transactionIdleLimit: () => number;
 	readonly findGroup: (name: string) => SessionGroup | undefined;
-	/** Takes one operation from the workspace's share; else says after how many milliseconds to come back. */
+	/** Takes one operation from the workspace's share of its rate; `retryAfter` is the delay in milliseconds if none is left. */
 	readonly takeOperation: (workspace: string) => Promise<{readonly isTaken: boolean; readonly retryAfter: number}>;
 	readonly onAnswered: (answered: AnsweredStatement) => void;
 	readonly log: SessionLog;
--- a/packages/sessions/session-host.ts
+++ b/packages/sessions/session-host.ts
@@ -4,16 +4,16 @@
 
 /** A host that serves sessions. */
 export type SessionHost = {
-	/** Opens the session of a caller that has connected. */
+	/** Opens a session for a caller that has connected. */
 	readonly openSession: (connection: Pick<Parameters<typeof createSession>[0], 'send' | 'close'>) => Session;
-	/** Whether callers should be sent here. */
+	/** Whether the host accepts callers; the readiness check reports it. */
 	readonly isReady: () => boolean;
-	/** What other hosts may ask. */
+	/** Calls that other hosts may make to this host. */
 	readonly peer: FleetPeer;
 	/**
-	 * Takes no new work, and resolves when no session is left or their time is over.
+	 * Drains the host; resolves when no session is left or the grace period is nearly over.
 	 *
-	 * `closeDoor` is called when callers have been sent elsewhere, so that no connection is taken any more.
+	 * `stopAccepting` is called once new callers have been directed to other hosts, and makes the listener refuse connections.
 	 */
-	readonly stop: (closeDoor: () => void) => Promise<void>;
+	readonly stop: (stopAccepting: () => void) => Promise<void>;
 };
--- a/packages/sessions/session-metrics.ts
+++ b/packages/sessions/session-metrics.ts
@@ -7,12 +7,14 @@
 	readonly registry: Registry;
 	/** Statements answered, by kind and result. */
 	readonly statements: Counter<'kind' | 'result'>;
-	/** Seconds from a statement to its answer, by kind. */
+	/** Latency of statements in seconds, by kind. */
 	readonly statementSeconds: Histogram<'kind'>;
-	/** Seconds of statements, by the part in which they went by; see `StatementTrace`. */
+	/** Total seconds that statements spent in each phase; see `StatementTrace.spans`. */
 	readonly phaseSeconds: Counter<'part'>;
 	/** Calls to the store, by kind and result. */
 	readonly storeCalls: Counter<'kind' | 'result'>;
+	/** Log lines dropped by the rate limit or a full output. */
 	readonly droppedLines: Counter;
+	/** Open sessions. */
 	readonly sessions: Gauge;
 };
--- a/packages/sessions/session-state.ts
+++ b/packages/sessions/session-state.ts
@@ -1,2 +1,2 @@
-/** Whether a session or a connection is in a transaction, and whether that has failed. */
+/** Transaction state of a session or a connection: none, open, or failed and not yet ended. */
 export type SessionState = 'idle' | 'open' | 'failed';
--- a/packages/sessions/session.ts
+++ b/packages/sessions/session.ts
@@ -1,14 +1,14 @@
 import type {ClientRequest} from './client-request.ts';
 
-/** A caller's session; it lives as long as its connection. */
+/** A caller's session, which ends with the caller's connection. */
 export type Session = {
-	/** Takes a message; messages are handled one after the other. */
+	/** Queues a message; messages are handled sequentially. */
 	readonly receive: (request: ClientRequest) => void;
-	/** The caller has gone. */
+	/** Ends the session after the caller has disconnected; rolls back an open transaction. */
 	readonly end: () => void;
-	/** Closes the session as soon as it is idle and nothing is under way. */
+	/** Closes the session as soon as no statement is running and no transaction is open. */
 	readonly stop: () => void;
-	/** Closes the session now; an open transaction is rolled back. */
+	/** Closes the session immediately; rolls back an open transaction. */
 	readonly abort: () => void;
 	readonly isIdle: () => boolean;
 };
--- a/packages/sessions/statement-trace.ts
+++ b/packages/sessions/statement-trace.ts
@@ -1,19 +1,20 @@
 import type {JobSpans} from './job-spans.ts';
 
-/** Parts of a statement's time that its host knows: those of its jobs, and what came before them. */
+/** Phases of a statement that its host measures: those of its jobs, and the waits before them. */
 type SpanName = keyof JobSpans | 'rate' | 'primary';
 
-/** What was decided for a statement, and where its time went; for logs and metrics. */
+/** Decisions taken for a statement and the time it spent in each phase, for logs and metrics. */
 export type StatementTrace = {
 	readonly steps: readonly string[];
 	/**
-	 * Milliseconds by part: `rate` is the wait for the workspace's share, `primary` that for a usable primary.
+	 * Milliseconds by phase, summed over all attempts.
 	 *
-	 * Parts add up over several tries.
+	 * `rate` is the wait for the workspace's share of its rate, `primary` the wait for a leased primary. The names are
+	 * values of a metric label and names of log fields.
 	 */
 	readonly spans: ReadonlyMap<SpanName, number>;
 	readonly addStep: (step: string) => void;
 	readonly addSpan: (name: SpanName, span: number) => void;
-	/** Adds the parts of a job. */
+	/** Adds the phases of a job. */
 	readonly addJobSpans: (spans: JobSpans | undefined) => void;
 };
--- a/packages/sessions/statement.ts
+++ b/packages/sessions/statement.ts
@@ -1,4 +1,4 @@
-/** What a session asks for in one request. */
+/** A parsed statement of a caller. */
 export type Statement =
 	| {readonly kind: 'begin'; readonly isReadOnly: boolean}
 	| {readonly kind: 'commit'}
@@ -7,11 +7,11 @@
 	| {readonly kind: 'write'}
 	| {readonly kind: 'set'; readonly name: string; readonly value: string}
 	| {readonly kind: 'prepare'; readonly name: string; readonly prepared: PreparedStatement}
-	/** Runs a prepared statement; the arguments are passed on as they are. */
+	/** Executes a prepared statement; `parameters` is forwarded unchanged. */
 	| {readonly kind: 'execute'; readonly name: string; readonly parameters: string}
 	| {readonly kind: 'close'; readonly name: string};
 
-/** What a prepared name stands for. */
+/** The statement behind a prepared name. */
 type PreparedStatement = {
 	readonly access: 'read' | 'write';
 	readonly shape: string;
--- a/packages/sessions/target.ts
+++ b/packages/sessions/target.ts
@@ -1,10 +1,11 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 import type {InstanceRuntime} from './instance-runtime.ts';
 
-/** Where a statement goes: an instance, and the position that its log must hold unless it is the leased primary. */
+/** The instance that a statement is sent to. */
 export type Target = {
 	readonly instance: InstanceRuntime;
+	/** Position that the log of a replica must have reached; undefined for the leased primary. */
 	readonly after: LogPoint | undefined;
-	/** Epoch of the lease, when the statement relies on it. */
+	/** Epoch of the lease on the primary; undefined for a replica, which needs no lease. */
 	readonly epoch: number | undefined;
 };
--- a/packages/sessions/transaction.ts
+++ b/packages/sessions/transaction.ts
@@ -2,13 +2,13 @@
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {Query} from './query.ts';
 
-/** A transaction of a session; its connection is its own until it ends. */
+/** A transaction of a session, which holds a connection exclusively until it ends. */
 export type Transaction = {
-	/** Runs a read or write; after a failure the transaction is over. */
+	/** Runs a read or write; a failure ends the transaction. */
 	readonly run: (query: Query, operation: Operation) => Promise<StatementOutcome>;
 	readonly commit: (commit: {readonly id: string; readonly text: string}, operation: Operation) => Promise<StatementOutcome>;
-	/** Rolls back and gives the connection back, without waiting. */
+	/** Rolls back and releases the connection in the background. */
 	readonly rollBack: () => void;
-	/** Why the transaction was ended from this side, if it was. */
+	/** Returns why the host ended the transaction; undefined if it did not. */
 	readonly endReason: () => string | undefined;
 };
