--- a/packages/sessions/add-position-sample.ts
+++ b/packages/sessions/add-position-sample.ts
@@ -1,6 +1,6 @@
 import type {PositionSample} from './position-sample.ts';
 
-/** Smallest spacing of kept samples in milliseconds; a sample that follows more closely replaces the last one. */
+/** Smallest spacing of kept samples in milliseconds; if the last sample is closer to the one before, the next sample replaces it. */
 const sampleSpacingMs = 100;
 
 /** Number of samples kept per group, enough to cover the largest staleness of a read. */
--- a/packages/sessions/admit-log-line.test.ts
+++ b/packages/sessions/admit-log-line.test.ts
@@ -9,19 +9,19 @@
 			name: 'writes a debug line below the limit', budget: fresh, line: {isDebug: true, isOutputFull: false, now: 10}, expected: {isWritten: true, written: 1, dropped: 0},
 		},
 		{
-			name: 'drops debug lines at the lower limit', budget: {...fresh, written: 20}, line: {isDebug: true, isOutputFull: false, now: 10}, expected: {isWritten: false, written: 20, dropped: 1},
+			name: 'drops debug lines first', budget: {...fresh, written: 20}, line: {isDebug: true, isOutputFull: false, now: 10}, expected: {isWritten: false, written: 20, dropped: 1},
 		},
 		{
-			name: 'writes other lines above the limit of debug lines', budget: {...fresh, written: 20}, line: {isDebug: false, isOutputFull: false, now: 10}, expected: {isWritten: true, written: 21, dropped: 0},
+			name: 'gives other lines a higher limit', budget: {...fresh, written: 20}, line: {isDebug: false, isOutputFull: false, now: 10}, expected: {isWritten: true, written: 21, dropped: 0},
 		},
 		{
-			name: 'drops other lines at the upper limit', budget: {...fresh, written: 200}, line: {isDebug: false, isOutputFull: false, now: 10}, expected: {isWritten: false, written: 200, dropped: 1},
+			name: 'limits other lines too', budget: {...fresh, written: 200}, line: {isDebug: false, isOutputFull: false, now: 10}, expected: {isWritten: false, written: 200, dropped: 1},
 		},
 		{
 			name: 'drops lines while the output is full', budget: fresh, line: {isDebug: false, isOutputFull: true, now: 10}, expected: {isWritten: false, written: 0, dropped: 1},
 		},
 		{
-			name: 'resets the written lines in each window, and keeps the count of dropped lines', budget: {startedAt: 0, written: 200, dropped: 7}, line: {isDebug: true, isOutputFull: false, now: 1000}, expected: {isWritten: true, written: 1, dropped: 7},
+			name: 'resets the count of written lines per window, but not of dropped ones', budget: {startedAt: 0, written: 200, dropped: 7}, line: {isDebug: true, isOutputFull: false, now: 1000}, expected: {isWritten: true, written: 1, dropped: 7},
 		},
 	];
 	for (const {name, budget, line, expected} of cases) {
--- a/packages/sessions/apply-setup.ts
+++ b/packages/sessions/apply-setup.ts
@@ -19,7 +19,8 @@
  *
  * Resets the connection first if it holds variables of another session.
  *
- * @returns False if the instance refused a reset or a variable, or if the session has no prepared statement of this name.
+ * @returns False if the instance did not confirm a reset or a variable, or if the session has no prepared statement of
+ * this name.
  */
 export async function applySetup(pooled: PooledLink, {setup, prepared, isInTransaction, send}: Options): Promise<boolean> {
 	const hasForeignVariables = [...pooled.values.keys()].some(name => !setup.variables.has(name));
--- a/packages/sessions/create-session-registry.ts
+++ b/packages/sessions/create-session-registry.ts
@@ -21,7 +21,7 @@
 type SessionRegistry = {
 	readonly openSession: SessionHost['openSession'];
 	readonly count: () => number;
-	/** Drains the sessions; resolves when none is left or the drain deadline has passed. See `SessionHost.stop`. */
+	/** Drains the sessions; resolves when none and no job of another host is left, or at the drain deadline. See `SessionHost`. */
 	readonly stop: SessionHost['stop'];
 };
 
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -180,9 +180,9 @@
 			return reason === undefined ? createFailure('malformed', 'The transaction has failed; end it first') : createFailure('aborted', reason);
 		}
 
-		const local = applySetupStatement(statement, setup);
-		if (local !== undefined) {
-			return local;
+		const setupOutcome = applySetupStatement(statement, setup);
+		if (setupOutcome !== undefined) {
+			return setupOutcome;
 		}
 
 		switch (statement.kind) {
--- a/packages/sessions/create-transaction.ts
+++ b/packages/sessions/create-transaction.ts
@@ -21,8 +21,8 @@
 /**
  * Creates a transaction, which begins on an instance with its first statement.
  *
- * Nothing is kept before the commit is sent, so any earlier failure is reported as `aborted`: no write took effect.
- * If the answer to a commit with writes is lost, the outcome is `unknown`.
+ * The instance keeps nothing of the transaction before the commit is sent, so any earlier failure guarantees that no
+ * write took effect. If the answer to a commit with writes is lost, the outcome is `unknown`.
  */
 export function createTransaction({isReadOnly, onIdle, idleLimit}: Options): Transaction {
 	let opened: OpenedTransaction | undefined;
--- a/packages/sessions/find-required-position.test.ts
+++ b/packages/sessions/find-required-position.test.ts
@@ -21,13 +21,13 @@
 			name: 'requires the last write of the session', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 25)}, arrivedAt: 1400, expected: point(1, 25),
 		},
 		{
-			name: 'requires the oldest sample when the last write of the session is older', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 5)}, arrivedAt: 1900, expected: point(1, 20),
+			name: 'ignores a last write older than the oldest sample', samples, maxStaleness: 1500, lastWrite: {epoch: 1, position: point(1, 5)}, arrivedAt: 1900, expected: point(1, 20),
 		},
 		{
-			name: 'requires the newest sample when the last write has an earlier epoch, since a failover may have lost it', samples, maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: point(1, 30),
+			name: 'requires the newest sample after a failover, which may have lost the last write', samples, maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: point(1, 30),
 		},
 		{
-			name: 'returns undefined when the last write has an earlier epoch and there is no sample', samples: [], maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: undefined,
+			name: 'returns undefined after a failover while there is no sample', samples: [], maxStaleness: 1500, lastWrite: {epoch: 0, position: point(0, 900)}, arrivedAt: 1400, expected: undefined,
 		},
 	];
 	for (const {name, expected, arrivedAt, ...read} of cases) {
--- a/packages/sessions/find-required-position.ts
+++ b/packages/sessions/find-required-position.ts
@@ -16,7 +16,7 @@
 	readonly arrivedAt: Instant;
 };
 
-/** Milliseconds subtracted from the allowed staleness, which counts from the caller's first byte, sent before the read arrived. */
+/** Milliseconds subtracted from the staleness limit, which counts from when the caller sent the first byte, before the host received the read. */
 const stalenessMarginMs = 60;
 
 /**
--- a/packages/sessions/is-position-sample-due.ts
+++ b/packages/sessions/is-position-sample-due.ts
@@ -14,10 +14,10 @@
 /** Longest interval between samples in milliseconds on a host that reports positions. */
 const storeReaderIntervalMs = 500;
 
-/** Fraction of the proof period after which a host that reports positions takes a fresh sample for the next report. */
+/** Fraction of the interval between confirmations of the store after which a host that reports positions takes a fresh sample for the next report. */
 const preReportFraction = 0.8;
 
-/** Smallest age in milliseconds at which the last sample is replaced before a report, so that each report takes one sample. */
+/** Smallest age in milliseconds at which the last sample is replaced before a report, so that each report takes only one sample. */
 const preReportMinAgeMs = 250;
 
 /** Milliseconds without a reported sample after which a receiving host asks the primary; slightly less than the staleness of reads. */
--- a/packages/sessions/rank-readers.test.ts
+++ b/packages/sessions/rank-readers.test.ts
@@ -16,12 +16,12 @@
 	const cases = [
 		{name: 'prefers the replica in the same zone', given: [remote, primary, replica], expected: 'replica'},
 		{name: 'prefers another zone when the local replica is slow', given: [{...replica, health: {...health, latency: 300}}, remote], expected: 'remote'},
-		{name: 'prefers another zone when the connection pool of the local replica is overloaded', given: [{...replica, load: 3}, remote], expected: 'remote'},
+		{name: 'prefers another zone when the local pool is overloaded', given: [{...replica, load: 3}, remote], expected: 'remote'},
 		{name: 'avoids an instance that failed recently', given: [{...replica, health: {...health, avoidedUntil: 200}}, remote], expected: 'remote'},
 		{name: 'avoids an unresponsive instance', given: [{...replica, health: {...health, unansweredSince: -200}}, remote], expected: 'remote'},
 		{name: 'avoids a replica that recently lacked an older position', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'primary'},
 		{name: 'tries a replica that lacked only a newer position', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(50)}}}, primary], expected: 'replica'},
-		{name: 'tries a replica that has since reached the required position', given: [{...replica, health: {...health, position: point(10), lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'replica'},
+		{name: 'tries a replica that has caught up since', given: [{...replica, health: {...health, position: point(10), lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'replica'},
 	];
 	for (const {name, given, expected} of cases) {
 		it(name, () => {
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -21,7 +21,7 @@
 export async function runRead(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
-	let last: StatementOutcome = createBusyFailure('No instance can serve the read', 100);
+	let lastOutcome: StatementOutcome = createBusyFailure('No instance can serve the read', 100);
 	for (let attempt = 0; attempt < maxAttempts; attempt++) {
 		const remainingMs = deadline - context.now().steady;
 		if (remainingMs <= 0) {
@@ -30,7 +30,7 @@
 
 		const target = await chooseTarget(operation, {isReadOnly: true, tried, remainingMs});
 		if (target === undefined) {
-			return last;
+			return lastOutcome;
 		}
 
 		tried.add(target.instance.listed().id);
@@ -39,10 +39,10 @@
 			return outcome.outcome;
 		}
 
-		last = outcome.outcome;
+		lastOutcome = outcome.outcome;
 	}
 
-	return last;
+	return lastOutcome;
 }
 
 type AttemptResult =
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -26,7 +26,7 @@
  */
 export async function runWrite(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, group, deadline} = operation;
-	let last: StatementOutcome = createBusyFailure('The write found no primary', 100);
+	let lastOutcome: StatementOutcome = createBusyFailure('The write found no primary', 100);
 	for (let attempt = 0; attempt < maxAttempts; attempt++) {
 		const remainingMs = deadline - context.now().steady;
 		if (remainingMs <= 0) {
@@ -44,11 +44,11 @@
 			return outcome.outcome;
 		}
 
-		last = outcome.outcome;
+		lastOutcome = outcome.outcome;
 		await sleep(retryDelayMs);
 	}
 
-	return last;
+	return lastOutcome;
 }
 
 type AttemptResult = {readonly outcome: StatementOutcome; readonly isFinal: boolean};
--- a/packages/sessions/session-host.ts
+++ b/packages/sessions/session-host.ts
@@ -11,7 +11,7 @@
 	/** Calls that other hosts may make to this host. */
 	readonly peer: FleetPeer;
 	/**
-	 * Drains the host; resolves when no session is left or the grace period is nearly over.
+	 * Drains the host; resolves when no session and no work for other hosts is left, or the grace period is nearly over.
 	 *
 	 * `stopAccepting` is called once new callers have been directed to other hosts, and makes the listener refuse connections.
 	 */
