--- a/packages/hosts/encode-job.test.ts
+++ b/packages/hosts/encode-job.test.ts
@@ -16,22 +16,22 @@
 	caller: fc.record({database: fc.string(), keyDigest: fc.string()}),
 	timeout: fc.double({min: 1, max: 60_000, noNaN: true}),
 };
-const values = fc.array(fc.tuple(fc.string({minLength: 1}), fc.string()), {maxLength: 3}).map(entries => new Map(entries));
+const variables = fc.array(fc.tuple(fc.string({minLength: 1}), fc.string()), {maxLength: 3}).map(entries => new Map(entries));
 const plainWork = fc.record({
 	id: fc.string(), text: fc.string(), access, execute: fc.constant(undefined),
 });
-const plainSetup = fc.record({values, prepared: fc.constant(new Map())});
+const plainSetup = fc.record({variables, prepared: fc.constant(new Map())});
 const after = fc.option(point, {nil: undefined});
 const transaction = fc.nat(2 ** 30);
 const job: fc.Arbitrary<Job> = fc.oneof(
 	fc.record({
-		...base, kind: fc.constant('single' as const), setup: plainSetup, work: plainWork, after,
+		...base, kind: fc.constant('single' as const), setup: plainSetup, query: plainWork, after,
 	}),
 	fc.record({
 		...base, kind: fc.constant('begin' as const), setup: plainSetup, isReadOnly: fc.boolean(), after, idleLimit: fc.nat(60_000),
 	}),
 	fc.record({
-		...base, kind: fc.constant('within' as const), transaction, setup: plainSetup, work: plainWork,
+		...base, kind: fc.constant('within' as const), transaction, setup: plainSetup, query: plainWork,
 	}),
 	fc.record({
 		...base, kind: fc.constant('commit' as const), transaction, id: fc.string(), text: fc.string(),
@@ -79,16 +79,16 @@
 			priority: 1,
 			caller: {database: 'd', keyDigest: 'k'},
 			timeout: 5,
-			setup: {values: new Map(), prepared},
-			work: {
+			setup: {variables: new Map(), prepared},
+			query: {
 				id: '1', text: 'EXECUTE s1 a b', access: 'write', execute: {name: 's1', parameters: 'a b'},
 			},
 		});
 		expect(sent).to.deep.include({
-			work: {
+			query: {
 				id: '1', text: 'EXECUTE s1 a b', access: 'write', execute: {name: 's1', parameters: 'a b'},
 			},
-			setup: {values: new Map(), prepared: new Map([['s1', {access: 'write', shape: 'q2c'}]])},
+			setup: {variables: new Map(), prepared: new Map([['s1', {access: 'write', shape: 'q2c'}]])},
 		});
 	});
 
--- a/packages/hosts/encode-job.ts
+++ b/packages/hosts/encode-job.ts
@@ -30,7 +30,7 @@
 		case 'begin': {
 			return {
 				kind: job.isReadOnly ? JobKind.BEGIN_READ : JobKind.BEGIN,
-				values: Object.fromEntries(job.setup.values),
+				values: Object.fromEntries(job.setup.variables),
 				idleLimitMs: job.idleLimit,
 				...job.after && {after: job.after},
 			};
@@ -56,11 +56,11 @@
 	}
 }
 
-function encodeWork({setup, work}: Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'work'>): Message {
-	const {id, text, access, execute} = work;
+function encodeWork({setup, query}: Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>): Message {
+	const {id, text, access, execute} = query;
 	const prepared = execute && setup.prepared.get(execute.name);
 	return {
-		values: Object.fromEntries(setup.values),
+		values: Object.fromEntries(setup.variables),
 		id,
 		text,
 		isWrite: access === 'write',
--- a/packages/sessions/create-gateway.test.ts
+++ b/packages/sessions/create-gateway.test.ts
@@ -7,19 +7,19 @@
 import type {Route} from './route.ts';
 
 const base = {
-	workspace: 'upper', priority: 1, caller: {database: 'ponds', keyDigest: ''}, timeout: 500, setup: {values: new Map(), prepared: new Map()},
+	workspace: 'upper', priority: 1, caller: {database: 'ponds', keyDigest: ''}, timeout: 500, setup: {variables: new Map(), prepared: new Map()},
 };
 const work = {
 	id: '1', text: 'READ a', access: 'read', execute: undefined,
 } as const;
 const single: Job = {
-	...base, kind: 'single', work, after: undefined,
+	...base, kind: 'single', query: work, after: undefined,
 };
 const begin: Job = {
 	...base, kind: 'begin', isReadOnly: false, after: undefined, idleLimit: 1000,
 };
 const within: Job = {
-	...base, kind: 'within', transaction: 5, work,
+	...base, kind: 'within', transaction: 5, query: work,
 };
 const done: JobAnswer = {
 	kind: 'answered', outcome: {kind: 'done', rows: [], signature: '7'}, state: 'idle', position: undefined,
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -5,9 +5,9 @@
 import type {JobAnswer} from './job-answer.ts';
 import type {JobRunner} from './job-runner.ts';
 import type {Job} from './job.ts';
-import {notSent} from './not-sent.ts';
+import {notSentAnswer} from './not-sent-answer.ts';
 import type {PooledConnection} from './pooled-connection.ts';
-import {runWork} from './run-work.ts';
+import {runQuery} from './run-query.ts';
 
 type Options = {
 	readonly pool: InstancePool;
@@ -80,14 +80,14 @@
 
 		const remaining = Math.max(1, deadline - now());
 		const readTimeoutMs = Math.max(readTimeout.minMs, readTimeout.latencyFactor * latency());
-		const {setup, work, after} = job;
-		const answer = await runWork(pooled, {
+		const {setup, query, after} = job;
+		const answer = await runQuery(pooled, {
 			send,
 			setup,
-			work,
+			query,
 			after,
 			isInTransaction: false,
-			timeout: work.access === 'read' ? Math.min(readTimeoutMs, remaining) : remaining,
+			timeout: query.access === 'read' ? Math.min(readTimeoutMs, remaining) : remaining,
 			maySend() {
 				timer.recordSent();
 				return maySend() && now() < deadline;
@@ -111,7 +111,7 @@
 		});
 		if (!isReady || !maySend() || now() >= deadline) {
 			pool.release(pooled, isReady);
-			return isReady ? notSent : {kind: 'notSent', reason: 'the connection did not take the session\'s values'};
+			return isReady ? notSentAnswer : {kind: 'notSent', reason: 'the connection did not take the session\'s values'};
 		}
 
 		timer.recordSent();
@@ -149,7 +149,7 @@
 		return open?.pooled;
 	};
 
-	const runWithin = async ({transaction, setup, work, timeout}: JobOf<'within'>, maySend: () => boolean): Promise<JobAnswer> => {
+	const runWithin = async ({transaction, setup, query, timeout}: JobOf<'within'>, maySend: () => boolean): Promise<JobAnswer> => {
 		const open = transactions.get(transaction);
 		if (open === undefined) {
 			return {kind: 'notSent', reason: 'the transaction is not open any more'};
@@ -157,10 +157,10 @@
 
 		clearTimeout(open.idleTimer);
 		const timer = createJobTimer(now);
-		const answer = await runWork(open.pooled, {
+		const answer = await runQuery(open.pooled, {
 			send,
 			setup,
-			work,
+			query,
 			after: undefined,
 			isInTransaction: true,
 			timeout,
@@ -176,7 +176,7 @@
 	const commit = async ({transaction, id, text, timeout}: JobOf<'commit'>, maySend: () => boolean): Promise<JobAnswer> => {
 		if (!maySend()) {
 			await rollBack(transaction);
-			return notSent;
+			return notSentAnswer;
 		}
 
 		const pooled = takeTransaction(transaction);
--- a/packages/sessions/create-routed-runner.ts
+++ b/packages/sessions/create-routed-runner.ts
@@ -1,14 +1,14 @@
 /* eslint-disable no-await-in-loop -- hosts are tried one after the other */
 import type {applyObservation} from './apply-observation.ts';
 import type {Gateways} from './gateways.ts';
-import {isRepeatable} from './is-repeatable.ts';
+import {isRetryable} from './is-retryable.ts';
 import type {JobAnswer} from './job-answer.ts';
 import type {JobRunner} from './job-runner.ts';
 import type {JobSpans} from './job-spans.ts';
 import type {Job} from './job.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import {notSent} from './not-sent.ts';
-import type {RunJob} from './run-job.ts';
+import {notSentAnswer} from './not-sent-answer.ts';
+import type {DispatchJob} from './dispatch-job.ts';
 
 type Options = {
 	readonly listed: () => ListedInstance;
@@ -26,7 +26,7 @@
  * A gateway that accepts no work, or is unreachable, is skipped. A gateway that received a job which must not be retried,
  * and does not answer, may have run the job: the answer then counts as lost.
  */
-export function createRoutedRunner({listed, local, gateways, recordObservation, now}: Options): RunJob {
+export function createRoutedRunner({listed, local, gateways, recordObservation, now}: Options): DispatchJob {
 	const createGatewayRunner = (host: string): ((job: Job) => Promise<JobAnswer | 'notServed'>) => async job => {
 		const sentAt = now();
 		const answer = await gateways.runJob(host, listed(), job);
@@ -61,14 +61,14 @@
 			}
 
 			// A retryable job is sent while the host is pinged. Any other job waits until the ping is answered.
-			const isJobRetryable = isRepeatable(job);
+			const isJobRetryable = isRetryable(job);
 			const answering = gateways.isAnswering(host, {isRetryable: isJobRetryable});
 			if (!isJobRetryable && !await answering) {
 				continue;
 			}
 
 			if (!maySend()) {
-				return {answer: notSent, runner: local};
+				return {answer: notSentAnswer, runner: local};
 			}
 
 			const run = createGatewayRunner(host);
@@ -103,7 +103,7 @@
 function createPinnedRunner(host: string, run: (job: Job) => Promise<JobAnswer | 'notServed'>): JobRunner {
 	return async (job, maySend) => {
 		if (!maySend()) {
-			return notSent;
+			return notSentAnswer;
 		}
 
 		const answer = await run(job);
--- a/packages/sessions/create-session-metrics.ts
+++ b/packages/sessions/create-session-metrics.ts
@@ -3,9 +3,10 @@
 } from 'prom-client';
 import type {SessionMetrics} from './session-metrics.ts';
 
+/** Upper bounds of the histogram buckets, in seconds. */
 const secondsBuckets = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
 
-/** Creates the metrics of a host that serves sessions, in a registry of their own. */
+/** Creates the metrics of a host that serves sessions, in a new registry. */
 export function createSessionMetrics(): SessionMetrics {
 	const registry = new Registry();
 	const registers = [registry];
@@ -14,10 +15,10 @@
 		statements: new Counter({
 			name: 'sapphirefall_statements_total', help: 'Statements answered, by kind and result.', labelNames: ['kind', 'result'], registers,
 		}),
-		seconds: new Histogram({
+		statementSeconds: new Histogram({
 			name: 'sapphirefall_statement_seconds', help: 'Seconds from a statement to its answer, by kind.', labelNames: ['kind'], buckets: secondsBuckets, registers,
 		}),
-		partSeconds: new Counter({
+		phaseSeconds: new Counter({
 			name: 'sapphirefall_statement_part_seconds_total', help: 'Seconds of statements, by the part in which they went by.', labelNames: ['part'], registers,
 		}),
 		storeCalls: new Counter({
--- a/packages/sessions/create-statement-runner.ts
+++ b/packages/sessions/create-statement-runner.ts
@@ -1,47 +1,47 @@
-import {applyLocalStatement} from './apply-local-statement.ts';
+import {applySetupStatement} from './apply-setup-statement.ts';
 import type {Caller} from './caller.ts';
 import type {ClientRequest} from './client-request.ts';
-import {createBusy} from './create-busy.ts';
+import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
 import {createTransaction} from './create-transaction.ts';
-import {createWork} from './create-work.ts';
-import {localResult} from './local-result.ts';
+import {createQuery} from './create-query.ts';
+import {emptyResult} from './empty-result.ts';
 import type {Operation} from './operation.ts';
 import {runRead} from './run-read.ts';
 import {runWrite} from './run-write.ts';
 import type {SessionContext} from './session-context.ts';
-import type {SessionMark} from './session-mark.ts';
+import type {LastWrite} from './last-write.ts';
 import type {SessionState} from './session-state.ts';
-import type {SessionValues} from './session-values.ts';
+import type {SessionSetup} from './session-setup.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {StatementTrace} from './statement-trace.ts';
 import type {Transaction} from './transaction.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
 type Options = {
 	readonly context: SessionContext;
-	/** What the caller named when it started the session; undefined before. */
+	/** Returns the database and key that the caller started the session with; undefined before the start. */
 	readonly findCaller: () => Caller | undefined;
 };
 
-/** What runs the statements of one session, one after the other. */
+/** Runs the statements of one session sequentially. */
 type StatementRunner = {
 	readonly run: (request: StatementRequest, trace: StatementTrace) => Promise<StatementOutcome>;
 	readonly state: () => SessionState;
-	/** Rolls back what is open, since the session is over. */
+	/** Rolls back the open transaction, if any, when the session ends. */
 	readonly end: () => void;
 };
 
 type StatementRequest = Extract<ClientRequest, {readonly kind: 'statement'}>;
 
-/** Creates what runs the statements of a session: single ones, and those of its transactions. */
+/** Creates the runner for the statements of a session, both single statements and those in transactions. */
 export function createStatementRunner({context, findCaller}: Options): StatementRunner {
-	const setup: SessionValues = {values: new Map(), prepared: new Map()};
+	const setup: SessionSetup = {variables: new Map(), prepared: new Map()};
 	let transaction: Transaction | undefined;
 	let state: SessionState = 'idle';
-	let mark: SessionMark | undefined;
+	let lastWrite: LastWrite | undefined;
 
-	/** Prepares the running of a statement; refuses it if the caller may not use the database now. */
+	/** Creates the operation for a statement, or a failure if the caller has no access to the database now. */
 	const createOperation = (trace: StatementTrace): Operation | StatementOutcome => {
 		const caller = findCaller();
 		const access = caller && context.findAccess(caller);
@@ -56,7 +56,7 @@
 		const {route, workspace} = access;
 		const group = context.findGroup(route.group);
 		if (group === undefined) {
-			return createBusy(`The group ${route.group} is not known yet`, 500);
+			return createBusyFailure(`The group ${route.group} is not known yet`, 500);
 		}
 
 		const arrivedAt = context.now();
@@ -70,21 +70,21 @@
 			arrivedAt,
 			deadline: arrivedAt.steady + route.statementTimeout,
 			isAllowed: () => context.findAccess(caller).kind === 'allowed',
-			mark: () => mark,
-			setMark(newer) {
-				mark = newer;
+			lastWrite: () => lastWrite,
+			setLastWrite(newer) {
+				lastWrite = newer;
 			},
 			trace,
 		};
 	};
 
-	/** Ends a failed transaction, as the caller has asked for. */
-	const leaveFailed = (kind: 'commit' | 'rollback'): StatementOutcome => {
+	/** Ends a failed transaction on the caller's commit or rollback; a commit fails. */
+	const endFailedTransaction = (kind: 'commit' | 'rollback'): StatementOutcome => {
 		state = 'idle';
-		return kind === 'rollback' ? localResult : createFailure('aborted', 'The transaction had failed and is rolled back');
+		return kind === 'rollback' ? emptyResult : createFailure('aborted', 'The transaction had failed and is rolled back');
 	};
 
-	/** Prepares a new operation, which counts against the workspace's rate; a refusal if it may not run now. */
+	/** Creates an operation that counts against the workspace's rate limit, or a failure if the operation may not run now. */
 	const admitOperation = async (trace: StatementTrace): Promise<Operation | StatementOutcome> => {
 		const operation = createOperation(trace);
 		if (!('group' in operation)) {
@@ -93,7 +93,7 @@
 
 		const {isTaken, retryAfter} = await context.takeOperation(operation.workspace);
 		trace.addSpan('rate', context.now().steady - operation.arrivedAt.steady);
-		return isTaken ? operation : createBusy('The workspace has used up its rate', retryAfter);
+		return isTaken ? operation : createBusyFailure('The workspace has used up its rate', retryAfter);
 	};
 
 	const begin = async (isReadOnly: boolean, trace: StatementTrace): Promise<StatementOutcome> => {
@@ -108,18 +108,18 @@
 
 		transaction = createTransaction({
 			isReadOnly,
-			idleLimit: context.transactionIdle(),
+			idleLimit: context.transactionIdleLimit(),
 			onIdle() {
 				state = 'failed';
 			},
 		});
 		state = 'open';
-		return localResult;
+		return emptyResult;
 	};
 
-	const runInTransaction = async (open: Transaction, work: Work, trace: StatementTrace): Promise<StatementOutcome> => {
+	const runInTransaction = async (open: Transaction, query: Query, trace: StatementTrace): Promise<StatementOutcome> => {
 		const operation = createOperation(trace);
-		const outcome = 'group' in operation ? await open.run(work, operation) : operation;
+		const outcome = 'group' in operation ? await open.run(query, operation) : operation;
 		if (outcome.kind === 'failed') {
 			open.rollBack();
 			state = 'failed';
@@ -128,8 +128,8 @@
 		return outcome;
 	};
 
-	/** Has the way to the primary made sure while the workspace's share is asked for. */
-	const reachPrimary = () => {
+	/** Checks the primary's gateway ahead of a write, while the rate limit is being checked. */
+	const checkPrimaryGateway = () => {
 		const caller = findCaller();
 		const access = caller && context.findAccess(caller);
 		const group = access?.kind === 'allowed' ? context.findGroup(access.route.group) : undefined;
@@ -139,9 +139,9 @@
 		}
 	};
 
-	const runSingle = async (work: Work, trace: StatementTrace): Promise<StatementOutcome> => {
-		if (work.access === 'write') {
-			reachPrimary();
+	const runSingle = async (query: Query, trace: StatementTrace): Promise<StatementOutcome> => {
+		if (query.access === 'write') {
+			checkPrimaryGateway();
 		}
 
 		const operation = await admitOperation(trace);
@@ -149,7 +149,7 @@
 			return operation;
 		}
 
-		return work.access === 'read' ? runRead(work, operation) : runWrite(work, operation);
+		return query.access === 'read' ? runRead(query, operation) : runWrite(query, operation);
 	};
 
 	const commit = async (open: Transaction, {id, text}: StatementRequest, trace: StatementTrace): Promise<StatementOutcome> => {
@@ -173,16 +173,16 @@
 		if (state === 'failed') {
 			if (statement.kind === 'commit' || statement.kind === 'rollback') {
 				transaction = undefined;
-				return leaveFailed(statement.kind);
+				return endFailedTransaction(statement.kind);
 			}
 
-			const reason = transaction?.endedBecause();
+			const reason = transaction?.endReason();
 			return reason === undefined ? createFailure('malformed', 'The transaction has failed; end it first') : createFailure('aborted', reason);
 		}
 
-		const local = applyLocalStatement(statement, setup);
-		if (local !== undefined) {
-			return local;
+		const setupOutcome = applySetupStatement(statement, setup);
+		if (setupOutcome !== undefined) {
+			return setupOutcome;
 		}
 
 		switch (statement.kind) {
@@ -202,18 +202,18 @@
 				transaction.rollBack();
 				transaction = undefined;
 				state = 'idle';
-				return localResult;
+				return emptyResult;
 			}
 
 			case 'execute':
 			case 'read':
 			case 'write': {
-				const work = createWork(request, setup);
-				if (work === undefined) {
+				const query = createQuery(request, setup);
+				if (query === undefined) {
 					return createFailure('unknownStatement', 'No statement of this name is prepared');
 				}
 
-				return transaction === undefined ? runSingle(work, trace) : runInTransaction(transaction, work, trace);
+				return transaction === undefined ? runSingle(query, trace) : runInTransaction(transaction, query, trace);
 			}
 
 			default: {
--- a/packages/sessions/encode-work.ts
+++ b/packages/sessions/encode-query.ts
@@ -1,12 +1,16 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 import type {InstanceRequest} from './instance-request.ts';
 import type {PooledConnection} from './pooled-connection.ts';
-import type {SessionValues} from './session-values.ts';
-import type {Work} from './work.ts';
+import type {SessionSetup} from './session-setup.ts';
+import type {Query} from './query.ts';
 
-/** Encodes work for a connection; a prepared statement goes by the name that it has there. */
-export function encodeWork(work: Work, {pooled, setup, after}: {readonly pooled: PooledConnection; readonly setup: SessionValues; readonly after: LogPoint | undefined}): InstanceRequest {
-	const {id, text, execute} = work;
+/**
+ * Encodes a query as a request on a connection.
+ *
+ * A prepared statement is executed by its name on that connection. Without such a name the original text is forwarded.
+ */
+export function encodeQuery(query: Query, {pooled, setup, after}: {readonly pooled: PooledConnection; readonly setup: SessionSetup; readonly after: LogPoint | undefined}): InstanceRequest {
+	const {id, text, execute} = query;
 	const statement = execute && setup.prepared.get(execute.name);
 	const name = statement && pooled.prepared.get(`${statement.access} ${statement.shape}`);
 	return execute === undefined || name === undefined
--- a/packages/sessions/instance-runtime.ts
+++ b/packages/sessions/instance-runtime.ts
@@ -6,7 +6,7 @@
 import type {JobRunner} from './job-runner.ts';
 import type {ListedInstance} from './listed-instance.ts';
 import type {PooledConnection} from './pooled-connection.ts';
-import type {RunJob} from './run-job.ts';
+import type {DispatchJob} from './dispatch-job.ts';
 
 /** An instance as this host uses it. */
 export type InstanceRuntime = {
@@ -19,7 +19,7 @@
 	/** Sends a request on an own connection; closes the connection if no answer comes within `timeout` milliseconds. */
 	readonly send: (pooled: PooledConnection, request: InstanceRequest, timeout: number) => Promise<InstanceAnswer>;
 	/** Runs a job on an own connection or through a gateway. */
-	readonly run: RunJob;
+	readonly run: DispatchJob;
 	/** Pings the gateway of a workspace unless it answered lately, so that a following write need not wait for the ping. */
 	readonly checkGateway: (workspace: string) => void;
 	/** Runs a job on an own connection. */
--- a/packages/sessions/job.ts
+++ b/packages/sessions/job.ts
@@ -1,7 +1,7 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 import type {Caller} from './caller.ts';
-import type {SessionValues} from './session-values.ts';
-import type {Work} from './work.ts';
+import type {SessionSetup} from './session-setup.ts';
+import type {Query} from './query.ts';
 
 /** On whose behalf a job runs, and within what time. */
 type JobBase = {
@@ -20,16 +20,16 @@
  * answer to the job that began the transaction.
  */
 export type Job =
-	| JobBase & {readonly kind: 'single'; readonly setup: SessionValues; readonly work: Work; readonly after: LogPoint | undefined}
+	| JobBase & {readonly kind: 'single'; readonly setup: SessionSetup; readonly query: Query; readonly after: LogPoint | undefined}
 	| JobBase & {
 		readonly kind: 'begin';
-		readonly setup: SessionValues;
+		readonly setup: SessionSetup;
 		readonly isReadOnly: boolean;
 		readonly after: LogPoint | undefined;
 		/** Milliseconds for which the transaction may be idle. */
 		readonly idleLimit: number;
 	}
-	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionValues; readonly work: Work}
+	| JobBase & {readonly kind: 'within'; readonly transaction: number; readonly setup: SessionSetup; readonly query: Query}
 	| JobBase & {readonly kind: 'commit'; readonly transaction: number; readonly id: string; readonly text: string}
 	| {readonly kind: 'rollback'; readonly transaction: number}
 	/** Queries the end of the instance's log, without using an execution slot. */
--- /dev/null
+++ b/packages/sessions/log-line-budget.ts
@@ -0,0 +1,7 @@
+/** Counts of log lines written in the current one-second window, and dropped since the last line that reported them. */
+export type LogLineBudget = {
+	/** Start of the current window in steady milliseconds. */
+	readonly startedAt: number;
+	readonly written: number;
+	readonly dropped: number;
+};
--- a/packages/sessions/run-read.ts
+++ b/packages/sessions/run-read.ts
@@ -1,6 +1,6 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- attempts run sequentially */
 import {chooseTarget} from './choose-target.ts';
-import {createBusy} from './create-busy.ts';
+import {createBusyFailure} from './create-busy-failure.ts';
 import {createFailure} from './create-failure.ts';
 import {createJobBase} from './create-job-base.ts';
 import {hasLease} from './has-lease.ts';
@@ -8,57 +8,57 @@
 import type {Operation} from './operation.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
 import type {Target} from './target.ts';
-import type {Work} from './work.ts';
+import type {Query} from './query.ts';
 
-/** Times that a read is tried on instances at most. */
-const attemptsLimit = 6;
+/** Largest number of attempts for a read. */
+const maxAttempts = 6;
 
 /**
- * Runs a single read on an instance whose log is fresh enough.
+ * Runs a single read on an instance whose log meets the freshness of the route.
  *
- * A read that did not run, or whose answer was lost, is run again elsewhere.
+ * Retries on another instance if the read did not run or its answer was lost.
  */
-export async function runRead(work: Work, operation: Operation): Promise<StatementOutcome> {
+export async function runRead(query: Query, operation: Operation): Promise<StatementOutcome> {
 	const {context, deadline} = operation;
 	const tried = new Set<string>();
-	let last: StatementOutcome = createBusy('No instance can serve the read', 100);
-	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
-		const left = deadline - context.now().steady;
-		if (left <= 0) {
+	let lastOutcome: StatementOutcome = createBusyFailure('No instance can serve the read', 100);
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		const remainingMs = deadline - context.now().steady;
+		if (remainingMs <= 0) {
 			break;
 		}
 
-		const target = await chooseTarget(operation, {isReadOnly: true, tried, left});
+		const target = await chooseTarget(operation, {isReadOnly: true, tried, remainingMs});
 		if (target === undefined) {
-			return last;
+			return lastOutcome;
 		}
 
 		tried.add(target.instance.listed().id);
-		const outcome = await tryTarget(work, operation, target);
+		const outcome = await tryTarget(query, operation, target);
 		if (outcome.kind === 'done' || outcome.isFinal) {
 			return outcome.outcome;
 		}
 
-		last = outcome.outcome;
+		lastOutcome = outcome.outcome;
 	}
 
-	return last;
+	return lastOutcome;
 }
 
-type Tried =
+type AttemptResult =
 	| {readonly kind: 'done'; readonly outcome: StatementOutcome}
 	| {readonly kind: 'failed'; readonly outcome: StatementOutcome; readonly isFinal: boolean};
 
-async function tryTarget(work: Work, operation: Operation, {instance, after, epoch}: Target): Promise<Tried> {
+async function tryTarget(query: Query, operation: Operation, {instance, after, epoch}: Target): Promise<AttemptResult> {
 	const {context, group} = operation;
 	const {id} = instance.listed();
-	const askedAt = context.now();
+	const requestedAt = context.now();
 	const {answer} = await instance.run({
-		...createJobBase(operation), kind: 'single', setup: operation.setup, work, after,
+		...createJobBase(operation), kind: 'single', setup: operation.setup, query, after,
 	}, () => operation.isAllowed() && (epoch === undefined || hasLease(group, epoch)));
 	if (answer.kind === 'notSent') {
 		operation.trace.addStep(`${id}: not sent (${answer.reason})`);
-		return {kind: 'failed', outcome: createBusy(`The read was not sent to instance ${id}: ${answer.reason}`, 100), isFinal: !operation.isAllowed()};
+		return {kind: 'failed', outcome: createBusyFailure(`The read was not sent to instance ${id}: ${answer.reason}`, 100), isFinal: !operation.isAllowed()};
 	}
 
 	if (answer.kind === 'lost') {
@@ -66,9 +66,9 @@
 		return {kind: 'failed', outcome: createFailure('timeout', answer.reason), isFinal: false};
 	}
 
-	operation.trace.addJob(answer.spans);
+	operation.trace.addJobSpans(answer.spans);
 	const view = group.primary();
-	group.recordAnswer(id, answer, {at: askedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
+	group.recordAnswer(id, answer, {at: requestedAt, epoch: epoch ?? (view.kind === 'leased' ? view.epoch : 0)});
 	if (answer.outcome.kind === 'done') {
 		operation.trace.addStep(`${id}: done`);
 		return {kind: 'done', outcome: answer.outcome};
@@ -80,6 +80,6 @@
 		instance.recordLag(after);
 	}
 
-	const outcome = hasNotRun(code) ? createBusy(`Instance ${id} answered ${code}`, 100) : answer.outcome;
+	const outcome = hasNotRun(code) ? createBusyFailure(`Instance ${id} answered ${code}`, 100) : answer.outcome;
 	return {kind: 'failed', outcome, isFinal: code === 'malformed' || code === 'timeout'};
 }
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -4,9 +4,9 @@
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {Instant} from './instant.ts';
 import type {ListedInstance} from './listed-instance.ts';
-import type {PositionOfAge} from './position-of-age.ts';
+import type {PrimaryPosition} from './primary-position.ts';
 import type {PrimaryView} from './primary-view.ts';
-import type {SessionMark} from './session-mark.ts';
+import type {LastWrite} from './last-write.ts';
 import type {Versioned} from './versioned.ts';
 
 /** A group of instances (a primary and its replicas), as this host uses it. */
@@ -31,15 +31,15 @@
 	readonly findInstance: (id: string) => InstanceRuntime | undefined;
 	readonly listInstances: () => readonly InstanceRuntime[];
 	/** Finds the position that a log must hold to serve a read; undefined when only the primary can serve the read. */
-	readonly findRequiredPosition: (read: {readonly maxStaleness: number; readonly mark: SessionMark | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
+	readonly findRequiredPosition: (read: {readonly maxStaleness: number; readonly lastWrite: LastWrite | undefined; readonly arrivedAt: Instant}) => LogPoint | undefined;
 	/** Lists the instances that may serve a read, best first. */
 	readonly listReaders: (required: LogPoint) => readonly InstanceRuntime[];
 	/** Records the position in an answer of the primary; answers of other instances and of other epochs are ignored. */
 	readonly recordAnswer: (instance: string, answer: InstanceAnswer, asked: {readonly at: Instant; readonly epoch: number}) => void;
 	/** Finds the newest known position of the primary's log. */
-	readonly findNewestPosition: () => PositionOfAge | undefined;
+	readonly findNewestPosition: () => PrimaryPosition | undefined;
 	/** Records a position that another host reported; its age counts from the time `from`. */
-	readonly recordPosition: (position: PositionOfAge, from: Instant) => void;
+	readonly recordPosition: (position: PrimaryPosition, from: Instant) => void;
 	/** Drops instances that stay unlisted and surplus connections, and queries the primary's position if a sample is due. */
 	readonly step: () => Promise<void>;
 };
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -204,7 +204,7 @@
 	const context: SessionContext = {
 		now,
 		findAccess: findCallerAccess,
-		transactionIdle: () => findDirectory()?.directory.transactionIdle ?? 0,
+		transactionIdleLimit: () => findDirectory()?.directory.transactionIdle ?? 0,
 		findGroup: name => groups.get(name),
 		takeOperation: rates.takeOperation,
 		onAnswered: options.onAnswered,
@@ -212,7 +212,7 @@
 	};
 
 	const registry = createSessionRegistry({
-		context, onSessions: options.onSessionCount, countForeign: gateway.countActive, graceSpan: profile.gracePeriodMs, now,
+		context, onSessionCount: options.onSessionCount, countPeerJobs: gateway.countActive, gracePeriodMs: profile.gracePeriodMs, now,
 	});
 
 	return {
