--- a/packages/sessions/create-rate-shares.ts
+++ b/packages/sessions/create-rate-shares.ts
@@ -9,7 +9,7 @@
 import {firstDelay} from './first-delay.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
-import type {HomeRow} from './home-row.ts';
+import type {RateAllocatorRow} from './rate-allocator-row.ts';
 import type {Instant} from './instant.ts';
 import type {RateBound} from './rate-bound.ts';
 import type {RateClaim} from './rate-claim.ts';
@@ -80,7 +80,7 @@
 	const findRow = () => fleet?.rateHomes.get(partition);
 
 	/** Asks the home for shares; false when it does not answer. */
-	const ask = async (row: HomeRow, claims: readonly RateClaim[], timeout?: number): Promise<boolean> => {
+	const ask = async (row: RateAllocatorRow, claims: readonly RateClaim[], timeout?: number): Promise<boolean> => {
 		const askedAt = now();
 		const message = {
 			host: self, incarnation, partition, epoch: row.epoch, claims,
@@ -112,7 +112,7 @@
 		now,
 	});
 
-	const claim = async (row: HomeRow) => {
+	const claim = async (row: RateAllocatorRow) => {
 		claimedAt = now().steady;
 		if (answeredEpoch !== row.epoch) {
 			book.forgetClaimed();
@@ -131,7 +131,7 @@
 		}
 	};
 
-	const takePlace = async (row: Versioned<HomeRow> | undefined) => {
+	const takePlace = async (row: Versioned<RateAllocatorRow> | undefined) => {
 		unansweredSince = undefined;
 		await takeRateHome(row, {...options, hosts: [...fleet?.hosts.keys() ?? []]});
 	};
@@ -147,7 +147,7 @@
 	};
 
 	/** Whether it is this host's turn to take a place that is empty or whose holder is silent. */
-	const isVacant = (row: HomeRow | undefined, rows: FleetRows): boolean => {
+	const isVacant = (row: RateAllocatorRow | undefined, rows: FleetRows): boolean => {
 		const proof = options.findFleetProof();
 		const since = row === undefined ? knownSince : unansweredSince;
 		if (since === undefined || proof === undefined || findElapsed(proof, now()) >= proofLimit || row?.holder === self) {
--- a/packages/sessions/fleet-rows.ts
+++ b/packages/sessions/fleet-rows.ts
@@ -1,6 +1,6 @@
 import type {DutyRow} from './duty-row.ts';
 import type {GroupRow} from './group-row.ts';
-import type {HomeRow} from './home-row.ts';
+import type {RateAllocatorRow} from './rate-allocator-row.ts';
 import type {HostRow} from './host-row.ts';
 import type {Versioned} from './versioned.ts';
 
@@ -13,5 +13,5 @@
 	readonly goneHosts: ReadonlyMap<string, Versioned<HostRow>>;
 	readonly duty: Versioned<DutyRow> | undefined;
 	/** Hosts that share out the rates, by partition of the workspaces; see `findRatePartition`. */
-	readonly rateHomes: ReadonlyMap<number, Versioned<HomeRow>>;
+	readonly rateHomes: ReadonlyMap<number, Versioned<RateAllocatorRow>>;
 };
--- a/packages/sessions/mod.ts
+++ b/packages/sessions/mod.ts
@@ -79,7 +79,7 @@
 export * from './has-lease.ts';
 export * from './has-not-run.ts';
 export * from './hash-key.ts';
-export type * from './home-row.ts';
+export type * from './rate-allocator-row.ts';
 export type * from './host-profile.ts';
 export type * from './host-row.ts';
 export type * from './instance-answer.ts';
--- a/packages/sessions/parse-fleet-rows.ts
+++ b/packages/sessions/parse-fleet-rows.ts
@@ -2,7 +2,7 @@
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {GroupRow} from './group-row.ts';
-import type {HomeRow} from './home-row.ts';
+import type {RateAllocatorRow} from './rate-allocator-row.ts';
 import type {HostRow} from './host-row.ts';
 import type {SessionLog} from './session-log.ts';
 import type {StoreRow} from './store-row.ts';
@@ -14,13 +14,13 @@
 	const hosts = new Map<string, Versioned<HostRow>>();
 	const goneHosts = new Map<string, Versioned<HostRow>>();
 	let duty: Versioned<DutyRow> | undefined;
-	const rateHomes = new Map<number, Versioned<HomeRow>>();
+	const rateHomes = new Map<number, Versioned<RateAllocatorRow>>();
 	for (const {key, value = '', version} of rows) {
 		try {
 			if (key === fleetKeys.duty) {
 				duty = {...JSON.parse(value) as DutyRow, version};
 			} else if (key.startsWith(fleetKeys.rateHomePrefix)) {
-				rateHomes.set(Number(key.slice(fleetKeys.rateHomePrefix.length)), {...JSON.parse(value) as HomeRow, version});
+				rateHomes.set(Number(key.slice(fleetKeys.rateHomePrefix.length)), {...JSON.parse(value) as RateAllocatorRow, version});
 			} else if (key.startsWith(fleetKeys.groupPrefix)) {
 				groups.set(key.slice(fleetKeys.groupPrefix.length), {...JSON.parse(value) as GroupRow, version});
 			} else if (key.startsWith(fleetKeys.hostPrefix)) {
--- a/packages/sessions/home-row.ts
+++ b/packages/sessions/rate-allocator-row.ts
@@ -1,5 +1,5 @@
 /** Which host shares out the rates; one at a time over the fleet. */
-export type HomeRow = {
+export type RateAllocatorRow = {
 	readonly holder: string;
 	/** Start of the holder's process. */
 	readonly incarnation: number;
--- a/packages/sessions/take-rate-home.ts
+++ b/packages/sessions/take-rate-home.ts
@@ -1,7 +1,7 @@
 import {rankHosts} from '@sapphirefall/decisions';
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetPeer} from './fleet-peer.ts';
-import type {HomeRow} from './home-row.ts';
+import type {RateAllocatorRow} from './rate-allocator-row.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 import type {Versioned} from './versioned.ts';
@@ -22,14 +22,14 @@
 const reachSample = 12;
 
 /** Takes the place of the home of the rates in the store, unless this host reaches too few others to be of use. */
-export async function takeRateHome(row: Versioned<HomeRow> | undefined, options: Options): Promise<void> {
+export async function takeRateHome(row: Versioned<RateAllocatorRow> | undefined, options: Options): Promise<void> {
 	const {self, incarnation, partition, store, log} = options;
 	if (row !== undefined && row.holder !== self && !await reachesMost(options)) {
 		return;
 	}
 
 	const key = `${fleetKeys.rateHomePrefix}${partition}`;
-	const next: HomeRow = {holder: self, incarnation, epoch: (row?.epoch ?? 0) + 1};
+	const next: RateAllocatorRow = {holder: self, incarnation, epoch: (row?.epoch ?? 0) + 1};
 	const outcome = await store.commit({
 		expected: new Map([[key, row?.version ?? 0]]),
 		values: new Map([[key, JSON.stringify(next)]]),
