--- a/packages/hosts/create-fleet-peer.ts
+++ b/packages/hosts/create-fleet-peer.ts
@@ -90,7 +90,7 @@
 			}
 
 			const {home, shares, spanMs} = answer.value;
-			return home ? {grants: new Map(shares.map(({workspace, rate, units}) => [workspace, {rate, units}])), span: spanMs} : 'notHome';
+			return home ? {grants: new Map(shares.map(({workspace, rate, units}) => [workspace, {rate, units}])), span: spanMs} : 'notAllocator';
 		},
 		async fenceGroup(group, epoch) {
 			const answer = await send({case: 'fenceGroup', value: {group, epoch: BigInt(epoch)}});
--- a/packages/hosts/serve-fleet.ts
+++ b/packages/hosts/serve-fleet.ts
@@ -76,7 +76,7 @@
 			});
 			return {
 				case: call.case,
-				value: shares === undefined || shares === 'notHome'
+				value: shares === undefined || shares === 'notAllocator'
 					? {home: false}
 					: {home: true, shares: [...shares.grants].map(([workspace, grant]) => ({workspace, ...grant})), spanMs: shares.span},
 			};
--- a/packages/sessions/assign-rates.test.ts
+++ b/packages/sessions/assign-rates.test.ts
@@ -5,18 +5,18 @@
 import {createShareState} from './create-share-state.ts';
 import {findDemand} from './find-demand.ts';
 import {findHeldRate} from './find-held-rate.ts';
-import type {RateHome} from './rate-home.ts';
+import type {RateAllocatorState} from './rate-allocator-state.ts';
 import type {ShareState} from './share-state.ts';
 import {takeOperation} from './take-operation.ts';
 
 const hosts = ['a1', 'a2', 'b1', 'c1'];
 const bound = {window: 5000, overage: 0.1, slack: 20};
 const limits = new Map([['upper', {rate: 100, burst: 100}]]);
-const empty: RateHome = {
-	epoch: 1, startedAt: 0, hosts: new Map(), heardAt: new Map(), pools: new Map(),
+const empty: RateAllocatorState = {
+	epoch: 1, startedAt: 0, hosts: new Map(), lastClaimAt: new Map(), pools: new Map(),
 };
 
-const claim = (home: RateHome, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
+const claim = (home: RateAllocatorState, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
 	const {home: next, grants} = assignRates(home, {
 		host,
 		claims: [{
@@ -39,7 +39,7 @@
 	const shares = new Map<string, ShareState>();
 	const taken: number[] = [];
 	let refused = 0;
-	let home: RateHome = {...empty, startedAt: -15_000};
+	let home: RateAllocatorState = {...empty, startedAt: -15_000};
 	let random = seed;
 	const draw = () => {
 		random = ((random * 1_103_515_245) + 12_345) % 2_147_483_648;
@@ -170,7 +170,7 @@
 			host: fc.constantFrom(...hosts), demand: fc.integer({min: 0, max: 500}), isLost: fc.boolean(), pause: fc.integer({min: 0, max: 900}),
 		});
 		fc.assert(fc.property(fc.array(step, {maxLength: 60}), steps => {
-			let home: RateHome = {...empty, startedAt: -10_000};
+			let home: RateAllocatorState = {...empty, startedAt: -10_000};
 			let now = 0;
 			const held = new Map<string, {readonly rate: number; readonly until: number}>();
 			for (const {host, demand, isLost, pause} of steps) {
--- a/packages/sessions/assign-rates.ts
+++ b/packages/sessions/assign-rates.ts
@@ -4,7 +4,7 @@
 import type {RateBound} from './rate-bound.ts';
 import type {RateClaim} from './rate-claim.ts';
 import type {RateGrant} from './rate-grant.ts';
-import type {RateHome} from './rate-home.ts';
+import type {RateAllocatorState} from './rate-allocator-state.ts';
 import {spareParts} from './spare-parts.ts';
 import type {WorkspaceLimits} from './workspace-limits.ts';
 
@@ -24,12 +24,12 @@
 };
 
 type Assigned = {
-	readonly home: RateHome;
+	readonly home: RateAllocatorState;
 	/** By workspace. */
 	readonly grants: ReadonlyMap<string, RateGrant>;
 };
 
-type Holding = RateHome['hosts'] extends ReadonlyMap<string, ReadonlyMap<string, infer Value>> ? Value : never;
+type Holding = RateAllocatorState['hosts'] extends ReadonlyMap<string, ReadonlyMap<string, infer Value>> ? Value : never;
 
 const millisecondsPerSecond = 1000;
 
@@ -56,7 +56,7 @@
  * What is still held under an earlier home is known once all hosts have claimed; until then a host gets no more
  * than it holds.
  */
-export function assignRates(home: RateHome, options: Options): Assigned {
+export function assignRates(home: RateAllocatorState, options: Options): Assigned {
 	const {host, claims, limits, registered, unknownSpan, now} = options;
 	const isAllKnown = now - home.startedAt > unknownSpan || registered.every(name => name === host || home.hosts.has(name));
 	const holdings = new Map(home.hosts.get(host));
@@ -87,13 +87,13 @@
 
 	return {
 		home: {
-			...home, pools, hosts: new Map(home.hosts).set(host, holdings), heardAt: new Map(home.heardAt).set(host, now),
+			...home, pools, hosts: new Map(home.hosts).set(host, holdings), lastClaimAt: new Map(home.lastClaimAt).set(host, now),
 		},
 		grants,
 	};
 }
 
-function listOthers({hosts}: RateHome, workspace: string, host: string): readonly Holding[] {
+function listOthers({hosts}: RateAllocatorState, workspace: string, host: string): readonly Holding[] {
 	return [...hosts]
 		.filter(([name]) => name !== host)
 		.map(([, holdings]) => holdings.get(workspace))
--- a/packages/sessions/create-fleet-control.ts
+++ b/packages/sessions/create-fleet-control.ts
@@ -173,7 +173,7 @@
 		}
 	};
 
-	const isRemover = () => fleet?.rateHomes.get(0)?.holder === own.name;
+	const isRemover = () => fleet?.rateAllocators.get(0)?.holder === own.name;
 
 	const changeHost = async ({version, name}: Versioned<HostRow>, value: HostRow | undefined) => {
 		const key = `${fleetKeys.hostPrefix}${name}`;
--- a/packages/sessions/create-rate-home.ts
+++ b/packages/sessions/create-rate-allocator.ts
@@ -4,7 +4,7 @@
 import type {FleetRows} from './fleet-rows.ts';
 import type {Instant} from './instant.ts';
 import type {RateBound} from './rate-bound.ts';
-import type {RateHome} from './rate-home.ts';
+import type {RateAllocatorState} from './rate-allocator-state.ts';
 import type {WorkspaceLimits} from './workspace-limits.ts';
 
 type Options = {
@@ -21,9 +21,9 @@
 };
 
 /** What a host does as the home of the rates. */
-type Home = {
+type RateAllocator = {
 	/** Whether the store names this process as the home. */
-	readonly isHome: () => boolean;
+	readonly isAllocator: () => boolean;
 	/** Answers the claims of a host if this one is the home. */
 	readonly claimRates: FleetPeer['claimRates'];
 	/** Registered hosts that have not claimed for long, if this host is the home. */
@@ -40,13 +40,13 @@
 const hostSilence = 10_000;
 
 /** Creates the part of a host that shares out the rates when the store names it as the home. */
-export function createRateHome(options: Options): Home {
+export function createRateAllocator(options: Options): RateAllocator {
 	const {
 		self, partition, incarnation, bound, findFleet, now,
 	} = options;
-	let home: RateHome | undefined;
+	let home: RateAllocatorState | undefined;
 
-	const findRow = () => findFleet()?.rateHomes.get(partition);
+	const findRow = () => findFleet()?.rateAllocators.get(partition);
 	const isHome = () => findRow()?.holder === self && findRow()?.incarnation === incarnation;
 
 	const hasHomeLease = () => {
@@ -54,15 +54,15 @@
 		return isHome() && proof !== undefined && findLeaseLeft(proof, now()) > 0;
 	};
 
-	const claimRates: Home['claimRates'] = async ({host, epoch, claims}) => {
+	const claimRates: RateAllocator['claimRates'] = async ({host, epoch, claims}) => {
 		const row = findRow();
 		if (row === undefined || !hasHomeLease() || epoch !== row.epoch) {
-			return 'notHome';
+			return 'notAllocator';
 		}
 
 		if (home?.epoch !== row.epoch) {
 			home = {
-				epoch: row.epoch, startedAt: now().steady, hosts: new Map(), heardAt: new Map(), pools: new Map(),
+				epoch: row.epoch, startedAt: now().steady, hosts: new Map(), lastClaimAt: new Map(), pools: new Map(),
 			};
 		}
 
@@ -81,7 +81,7 @@
 	};
 
 	return {
-		isHome,
+		isAllocator: isHome,
 		claimRates,
 		listSilentHosts() {
 			const at = now().steady;
@@ -90,7 +90,7 @@
 				return [];
 			}
 
-			return [...findFleet()?.hosts.keys() ?? []].filter(host => host !== self && at - (begun.heardAt.get(host) ?? begun.startedAt) > hostSilence);
+			return [...findFleet()?.hosts.keys() ?? []].filter(host => host !== self && at - (begun.lastClaimAt.get(host) ?? begun.startedAt) > hostSilence);
 		},
 	};
 }
--- a/packages/sessions/create-rate-partitions.ts
+++ b/packages/sessions/create-rate-partitions.ts
@@ -8,7 +8,7 @@
 	const partitions = Array.from({length: ratePartitionCount}, (_, partition) => createRateShares({...options, partition}));
 	return {
 		takeOperation: async workspace => partitions[findRatePartition(workspace)]!.takeOperation(workspace),
-		claimRates: async claims => partitions[claims.partition]?.claimRates(claims) ?? 'notHome',
+		claimRates: async claims => partitions[claims.partition]?.claimRates(claims) ?? 'notAllocator',
 		// Every host shows life to the home of the first partition.
 		listSilentHosts: () => partitions[0]!.listSilentHosts(),
 		updateFleet(fleet) {
--- a/packages/sessions/create-rate-shares.ts
+++ b/packages/sessions/create-rate-shares.ts
@@ -1,11 +1,11 @@
 import {setTimeout as sleep} from 'node:timers/promises';
-import {createRateHome} from './create-rate-home.ts';
+import {createRateAllocator} from './create-rate-allocator.ts';
 import {createShareBook} from './create-share-book.ts';
 import {createUnitQueue} from './create-unit-queue.ts';
 import {findDemand} from './find-demand.ts';
 import {findElapsed} from './find-elapsed.ts';
 import {findHeldRate} from './find-held-rate.ts';
-import {findRateHomePlace} from './find-rate-home-place.ts';
+import {findRateAllocatorRank} from './find-rate-allocator-rank.ts';
 import {firstDelay} from './first-delay.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
@@ -16,7 +16,7 @@
 import type {RateShares} from './rate-shares.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
-import {takeRateHome} from './take-rate-home.ts';
+import {takeRateAllocatorLease} from './take-rate-allocator-lease.ts';
 import type {Versioned} from './versioned.ts';
 import type {WorkspaceLimits} from './workspace-limits.ts';
 
@@ -76,8 +76,8 @@
 	let hasRefused = false;
 
 	const book = createShareBook({...options, countHosts: () => Math.max(1, fleet?.hosts.size ?? 1)});
-	const home = createRateHome({...options, findFleet: () => fleet});
-	const findRow = () => fleet?.rateHomes.get(partition);
+	const home = createRateAllocator({...options, findFleet: () => fleet});
+	const findRow = () => fleet?.rateAllocators.get(partition);
 
 	/** Asks the home for shares; false when it does not answer. */
 	const ask = async (row: RateAllocatorRow, claims: readonly RateClaim[], timeout?: number): Promise<boolean> => {
@@ -85,9 +85,9 @@
 		const message = {
 			host: self, incarnation, partition, epoch: row.epoch, claims,
 		};
-		const answer = home.isHome() ? home.claimRates(message) : options.findPeer(row.holder)?.claimRates(message);
+		const answer = home.isAllocator() ? home.claimRates(message) : options.findPeer(row.holder)?.claimRates(message);
 		const granted = await (timeout === undefined ? answer : Promise.race([answer, sleep(timeout, undefined)]));
-		if (granted === undefined || granted === 'notHome') {
+		if (granted === undefined || granted === 'notAllocator') {
 			unansweredSince ??= askedAt.steady;
 			return false;
 		}
@@ -133,7 +133,7 @@
 
 	const takePlace = async (row: Versioned<RateAllocatorRow> | undefined) => {
 		unansweredSince = undefined;
-		await takeRateHome(row, {...options, hosts: [...fleet?.hosts.keys() ?? []]});
+		await takeRateAllocatorLease(row, {...options, hosts: [...fleet?.hosts.keys() ?? []]});
 	};
 
 	/** Runs one task at a time. */
@@ -154,7 +154,7 @@
 			return false;
 		}
 
-		const place = Math.min(lastPlace, findRateHomePlace({
+		const place = Math.min(lastPlace, findRateAllocatorRank({
 			self, partition, hosts: [...rows.hosts.keys()], lost: row?.holder,
 		}));
 		return now().steady - since > (row === undefined ? place * firstDelay : homeSilence + (place * placeDelay));
@@ -197,7 +197,7 @@
 		claimRates: home.claimRates,
 		listSilentHosts: home.listSilentHosts,
 		updateFleet(newer) {
-			const row = newer.rateHomes.get(partition);
+			const row = newer.rateAllocators.get(partition);
 			if (row?.epoch !== findRow()?.epoch) {
 				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The store names the host that shares out the rates.');
 				unansweredSince = undefined;
--- a/packages/sessions/find-rate-home-place.ts
+++ b/packages/sessions/find-rate-allocator-rank.ts
@@ -9,6 +9,6 @@
 };
 
 /** Finds this host's place among those that may share out the rates; 0 is the first. */
-export function findRateHomePlace({self, partition, hosts, lost}: Options): number {
+export function findRateAllocatorRank({self, partition, hosts, lost}: Options): number {
 	return rankHosts(`rate-home/${partition}`, hosts.filter(host => host !== lost)).indexOf(self);
 }
--- a/packages/sessions/fleet-keys.ts
+++ b/packages/sessions/fleet-keys.ts
@@ -1,7 +1,7 @@
 /** Keys of the fleet's rows in the store. */
 export const fleetKeys = {
 	duty: 'duty',
-	rateHomePrefix: 'rate-home/',
+	rateAllocatorPrefix: 'rate-home/',
 	groupPrefix: 'group/',
 	hostPrefix: 'host/',
 } as const;
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -41,7 +41,7 @@
 	 * The answer comes when rows change or proofs are renewed, and after `wait` milliseconds at the latest.
 	 */
 	readonly readTables: (asked: ReadonlyMap<StoreTable, AskedTable>, wait: number) => Promise<PeerKnowledge | undefined>;
-	readonly claimRates: (claims: Claims) => Promise<Shares | 'notHome' | undefined>;
+	readonly claimRates: (claims: Claims) => Promise<Shares | 'notAllocator' | undefined>;
 	/** Asks the host to give up the primary of a group before an epoch; true once it has. */
 	readonly fenceGroup: (group: string, epoch: number) => Promise<boolean | undefined>;
 	/** Whether the host hears nothing of an instance either. */
--- a/packages/sessions/fleet-rows.ts
+++ b/packages/sessions/fleet-rows.ts
@@ -13,5 +13,5 @@
 	readonly goneHosts: ReadonlyMap<string, Versioned<HostRow>>;
 	readonly duty: Versioned<DutyRow> | undefined;
 	/** Hosts that share out the rates, by partition of the workspaces; see `findRatePartition`. */
-	readonly rateHomes: ReadonlyMap<number, Versioned<RateAllocatorRow>>;
+	readonly rateAllocators: ReadonlyMap<number, Versioned<RateAllocatorRow>>;
 };
--- a/packages/sessions/parse-fleet-rows.ts
+++ b/packages/sessions/parse-fleet-rows.ts
@@ -19,8 +19,8 @@
 		try {
 			if (key === fleetKeys.duty) {
 				duty = {...JSON.parse(value) as DutyRow, version};
-			} else if (key.startsWith(fleetKeys.rateHomePrefix)) {
-				rateHomes.set(Number(key.slice(fleetKeys.rateHomePrefix.length)), {...JSON.parse(value) as RateAllocatorRow, version});
+			} else if (key.startsWith(fleetKeys.rateAllocatorPrefix)) {
+				rateHomes.set(Number(key.slice(fleetKeys.rateAllocatorPrefix.length)), {...JSON.parse(value) as RateAllocatorRow, version});
 			} else if (key.startsWith(fleetKeys.groupPrefix)) {
 				groups.set(key.slice(fleetKeys.groupPrefix.length), {...JSON.parse(value) as GroupRow, version});
 			} else if (key.startsWith(fleetKeys.hostPrefix)) {
@@ -33,6 +33,6 @@
 	}
 
 	return {
-		groups, hosts, goneHosts, duty, rateHomes,
+		groups, hosts, goneHosts, duty, rateAllocators: rateHomes,
 	};
 }
--- a/packages/sessions/rate-home.ts
+++ b/packages/sessions/rate-allocator-state.ts
@@ -1,13 +1,13 @@
 import type {TokenBucket} from '@sapphirefall/decisions';
 
 /** What the home of the rates knows of the hosts. */
-export type RateHome = {
+export type RateAllocatorState = {
 	/** Counts the homes; a host takes shares of one home at a time. */
 	readonly epoch: number;
 	/** Steady milliseconds when this home began. */
 	readonly startedAt: number;
 	/** Steady milliseconds of each host's last claim. */
-	readonly heardAt: ReadonlyMap<string, number>;
+	readonly lastClaimAt: ReadonlyMap<string, number>;
 	/** Operations that the home has left over, by workspace. */
 	readonly pools: ReadonlyMap<string, TokenBucket>;
 	/** By host; those that have not claimed since the home began are absent. */
--- a/packages/sessions/take-rate-home.ts
+++ b/packages/sessions/take-rate-allocator-lease.ts
@@ -22,13 +22,13 @@
 const reachSample = 12;
 
 /** Takes the place of the home of the rates in the store, unless this host reaches too few others to be of use. */
-export async function takeRateHome(row: Versioned<RateAllocatorRow> | undefined, options: Options): Promise<void> {
+export async function takeRateAllocatorLease(row: Versioned<RateAllocatorRow> | undefined, options: Options): Promise<void> {
 	const {self, incarnation, partition, store, log} = options;
 	if (row !== undefined && row.holder !== self && !await reachesMost(options)) {
 		return;
 	}
 
-	const key = `${fleetKeys.rateHomePrefix}${partition}`;
+	const key = `${fleetKeys.rateAllocatorPrefix}${partition}`;
 	const next: RateAllocatorRow = {holder: self, incarnation, epoch: (row?.epoch ?? 0) + 1};
 	const outcome = await store.commit({
 		expected: new Map([[key, row?.version ?? 0]]),
