--- a/packages/sessions/apply-grant.test.ts
+++ b/packages/sessions/apply-grant.test.ts
@@ -10,15 +10,15 @@
 	};
 
 	it('counts the time since the process began for the first grant, as after a restart of all hosts', () => {
-		expect(applyGrant(createShareState(at(0)), grant)).to.include({rate: 10, level: 6, refilledAt: 600});
+		expect(applyGrant(createShareState(at(0)), grant)).to.include({rate: 10, tokens: 6, refilledAt: 600});
 	});
 
 	it('adds operations that callers wait for', () => {
-		expect(applyGrant({...createShareState(at(0)), span: 3000}, {...grant, units: 2})).to.include({level: 2});
+		expect(applyGrant({...createShareState(at(0)), spanMs: 3000}, {...grant, units: 2})).to.include({tokens: 2});
 	});
 
 	it('does not count time twice for later grants', () => {
-		const share = {...applyGrant(createShareState(at(0)), grant), level: 1};
-		expect(applyGrant(share, {...grant, now: 1300})).to.include({level: 1, refilledAt: 600});
+		const share = {...applyGrant(createShareState(at(0)), grant), tokens: 1};
+		expect(applyGrant(share, {...grant, now: 1300})).to.include({tokens: 1, refilledAt: 600});
 	});
 });
--- a/packages/sessions/apply-grant.ts
+++ b/packages/sessions/apply-grant.ts
@@ -24,9 +24,9 @@
 export function applyGrant(share: ShareState, {
 	rate, units, span, askedAt, now,
 }: Grant): ShareState {
-	const isFirst = share.span === 0;
+	const isFirst = share.spanMs === 0;
 	const missed = isFirst ? rate * Math.max(0, now - share.refilledAt) / millisecondsPerSecond : 0;
 	return {
-		...share, rate, span, askedAt, level: share.level + missed + units, refilledAt: isFirst ? now : share.refilledAt,
+		...share, rate, spanMs: span, requestedAt: askedAt, tokens: share.tokens + missed + units, refilledAt: isFirst ? now : share.refilledAt,
 	};
 }
--- a/packages/sessions/assign-rates.ts
+++ b/packages/sessions/assign-rates.ts
@@ -1,11 +1,11 @@
 import {takeUnits, type TokenBucket} from '@sapphirefall/decisions';
-import {findSpareOperations} from './find-spare-operations.ts';
-import {isServedSingly} from './is-served-singly.ts';
+import {findBurstBudget} from './find-burst-budget.ts';
+import {isAllocatedOnDemand} from './is-allocated-on-demand.ts';
 import type {RateBound} from './rate-bound.ts';
 import type {RateClaim} from './rate-claim.ts';
 import type {RateGrant} from './rate-grant.ts';
 import type {RateAllocatorState} from './rate-allocator-state.ts';
-import {spareParts} from './spare-parts.ts';
+import {burstBudgetFractions} from './burst-budget-fractions.ts';
 import type {WorkspaceLimits} from './workspace-limits.ts';
 
 type Options = {
@@ -104,12 +104,12 @@
 function findTarget(limit: number, {claim, others, options}: {readonly claim: RateClaim; readonly others: readonly Holding[]; readonly options: Options}): number {
 	const {registered, now} = options;
 	const hostCount = registered.length;
-	if (isServedSingly({limit, hostCount, demand: claim.demand})) {
+	if (isAllocatedOnDemand({limit, hostCount, demand: claim.demand})) {
 		return 0;
 	}
 
 	// Where hosts without demand would be served singly, none of them gets an even part.
-	const even = isServedSingly({limit, hostCount, demand: 0}) ? 0 : evenPart * limit / Math.max(1, hostCount);
+	const even = isAllocatedOnDemand({limit, hostCount, demand: 0}) ? 0 : evenPart * limit / Math.max(1, hostCount);
 	const demands = others.map(({claimedAt, demand}) => now - claimedAt < demandMemory ? demand : 0);
 	const total = demands.reduce((sum, demand) => sum + demand, claim.demand) * headroom;
 	const most = (1 - evenPart - keptPart) * limit;
@@ -126,10 +126,10 @@
 
 /** Fills the home's pool with what no host holds and a part of the spare operations, and takes operations for callers who wait. */
 function takePooled(bucket: TokenBucket, {claim, limit, free, options}: Pooled) {
-	const spare = findSpareOperations(limit, options.bound);
-	const spareRate = spareParts.refilled * spare * millisecondsPerSecond / options.bound.window;
+	const spare = findBurstBudget(limit, options.bound);
+	const spareRate = burstBudgetFractions.poolRefill * spare * millisecondsPerSecond / options.bound.window;
 	// What hosts could save up for shares that they do not hold is saved up here.
-	const savedPart = spareParts.pooled + (spareParts.savedByShare * free / Math.max(limit.rate, 1e-9));
+	const savedPart = burstBudgetFractions.poolCapacity + (burstBudgetFractions.bucketByShare * free / Math.max(limit.rate, 1e-9));
 	const refill = {rate: free + spareRate, burst: savedPart * spare, now: options.now};
 	let {bucket: pool} = takeUnits(bucket, {cost: 0, ...refill});
 	let units = 0;
--- a/packages/sessions/create-counted-store.ts
+++ b/packages/sessions/create-instrumented-store.ts
@@ -2,7 +2,7 @@
 import type {Store} from './store.ts';
 
 /** Creates a store that counts the calls to another. */
-export function createCountedStore(store: Store, calls: SessionMetrics['storeCalls']): Store {
+export function createInstrumentedStore(store: Store, calls: SessionMetrics['storeCalls']): Store {
 	return {
 		async read(table) {
 			const outcome = await store.read(table);
--- a/packages/sessions/create-local-shares.test.ts
+++ b/packages/sessions/create-local-shares.test.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createShareBook} from './create-share-book.ts';
+import {createLocalShares} from './create-local-shares.ts';
 import {findRatePartition} from './find-rate-partition.ts';
 import type {Instant} from './instant.ts';
 
@@ -13,7 +13,7 @@
 /** Lets callers ask at a steady rate for some seconds, and counts the claims of the host. */
 function countClaims({hostCount, demand, granted}: {readonly hostCount: number; readonly demand: number; readonly granted: number}): number {
 	let at: Instant = {steady: 0, wall: 0};
-	const book = createShareBook({
+	const book = createLocalShares({
 		partition: findRatePartition(workspace),
 		bound,
 		// So many workspaces that none is claimed before its callers ask.
@@ -26,12 +26,12 @@
 	const pause = 1000 / demand;
 	for (let elapsed = 0; elapsed < 20_000; elapsed += pause) {
 		at = {steady: elapsed, wall: elapsed};
-		book.take(workspace, limits, true);
+		book.takeOperation(workspace, limits, true);
 		if (elapsed - claimedAt >= claimInterval) {
 			claimedAt = elapsed;
 			const claims = book.listClaims();
 			claimed += claims.length;
-			book.noteClaimed(claims);
+			book.recordClaimed(claims);
 			if (claims.length > 0) {
 				book.applyGrants(new Map([[workspace, {rate: granted, units: 0}]]), {span: 2500, askedAt: at});
 			}
@@ -41,7 +41,7 @@
 	return claimed;
 }
 
-describe('createShareBook, with steady callers for 20 s', () => {
+describe('createLocalShares, with steady callers for 20 s', () => {
 	const cases = [
 		{
 			name: 'renews a share before it lapses', hostCount: 3, demand: 4, granted: 5, least: 7, most: 25,
--- a/packages/sessions/create-share-book.ts
+++ b/packages/sessions/create-local-shares.ts
@@ -4,7 +4,7 @@
 import {findHeldRate} from './find-held-rate.ts';
 import {findRatePartition} from './find-rate-partition.ts';
 import type {Instant} from './instant.ts';
-import {isServedSingly} from './is-served-singly.ts';
+import {isAllocatedOnDemand} from './is-allocated-on-demand.ts';
 import type {RateBound} from './rate-bound.ts';
 import type {RateClaim} from './rate-claim.ts';
 import type {RateGrant} from './rate-grant.ts';
@@ -22,18 +22,18 @@
 };
 
 /** A host's shares of the rates of one partition. */
-type ShareBook = {
+type LocalShares = {
 	/** Takes an operation of a workspace; else says after how many milliseconds to come back. */
-	readonly take: (workspace: string, limits: WorkspaceLimits, isFirst: boolean) => {readonly isTaken: boolean; readonly retryAfter: number};
+	readonly takeOperation: (workspace: string, limits: WorkspaceLimits, isFirst: boolean) => {readonly isTaken: boolean; readonly retryAfter: number};
 	readonly findShare: (workspace: string) => ShareState | undefined;
 	/** Claims that tell the home something new, or keep shares from lapsing. */
 	readonly listClaims: () => readonly RateClaim[];
 	/** The claim of a workspace, with operations that callers wait for. */
 	readonly createClaim: (workspace: string, needed: number) => RateClaim | undefined;
 	/** Takes note of what the home was told. */
-	readonly noteClaimed: (claims: readonly RateClaim[]) => void;
+	readonly recordClaimed: (claims: readonly RateClaim[]) => void;
 	/** Forgets what the home was told, since there is another one. */
-	readonly forgetClaimed: () => void;
+	readonly clearClaimed: () => void;
 	readonly applyGrants: (grants: ReadonlyMap<string, RateGrant>, held: {readonly span: number; readonly askedAt: Instant}) => void;
 };
 
@@ -53,7 +53,7 @@
 const leastDemand = 0.05;
 
 /** Creates what keeps a host's shares of the rates of one partition. */
-export function createShareBook({partition, bound, findLimits, countHosts, now}: Options): ShareBook {
+export function createLocalShares({partition, bound, findLimits, countHosts, now}: Options): LocalShares {
 	const shares = new Map<string, ShareState>();
 	/** Demand that the home was told last, by workspace. */
 	const claimedDemand = new Map<string, number>();
@@ -79,7 +79,7 @@
 		}
 	};
 
-	const createClaim: ShareBook['createClaim'] = (workspace, needed) => {
+	const createClaim: LocalShares['createClaim'] = (workspace, needed) => {
 		const share = shares.get(workspace);
 		const held = share && findHeldRate(share, now());
 		return share && held && {
@@ -90,11 +90,11 @@
 	/** Whether the home grants a share that must be renewed; else the host asks it for each operation. */
 	const holdsShare = ({workspace, demand}: RateClaim) => {
 		const limit = findLimits().get(workspace)?.rate ?? 0;
-		return !isServedSingly({limit, hostCount: countHosts(), demand});
+		return !isAllocatedOnDemand({limit, hostCount: countHosts(), demand});
 	};
 
 	return {
-		take(workspace, limits, isFirst) {
+		takeOperation(workspace, limits, isFirst) {
 			const {share, isTaken, retryAfter} = takeOperation(shares.get(workspace), {
 				limits, bound, hostCount: countHosts(), now: now(), isFirst,
 			});
@@ -111,12 +111,12 @@
 				.filter(claim => isWorthClaiming(claim, {told: claimedDemand.get(claim.workspace), isHeld: holdsShare(claim)}));
 		},
 		createClaim,
-		noteClaimed(claims) {
+		recordClaimed(claims) {
 			for (const {workspace, demand} of claims) {
 				claimedDemand.set(workspace, demand);
 			}
 		},
-		forgetClaimed() {
+		clearClaimed() {
 			claimedDemand.clear();
 		},
 		applyGrants(grants, {span, askedAt}) {
--- a/packages/sessions/create-rate-shares.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -1,7 +1,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {createRateAllocator} from './create-rate-allocator.ts';
-import {createShareBook} from './create-share-book.ts';
-import {createUnitQueue} from './create-unit-queue.ts';
+import {createLocalShares} from './create-local-shares.ts';
+import {createTokenQueue} from './create-token-queue.ts';
 import {findDemand} from './find-demand.ts';
 import {findElapsed} from './find-elapsed.ts';
 import {findHeldRate} from './find-held-rate.ts';
@@ -13,7 +13,7 @@
 import type {Instant} from './instant.ts';
 import type {RateBound} from './rate-bound.ts';
 import type {RateClaim} from './rate-claim.ts';
-import type {RateShares} from './rate-shares.ts';
+import type {RateLimiter} from './rate-limiter.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 import {takeRateAllocatorLease} from './take-rate-allocator-lease.ts';
@@ -29,7 +29,7 @@
 	readonly findLimits: () => ReadonlyMap<string, WorkspaceLimits>;
 	readonly findPeer: (host: string) => FleetPeer | undefined;
 	/** Moment as of which the fleet's rows are known. */
-	readonly findFleetProof: () => Instant | undefined;
+	readonly findFleetConfirmedAt: () => Instant | undefined;
 	readonly store: Store;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
@@ -60,7 +60,7 @@
 const lifeInterval = 3000;
 
 /** Creates a host's shares of the rates of one partition of the workspaces. */
-export function createRateShares(options: Options): RateShares {
+export function createPartitionLimiter(options: Options): RateLimiter {
 	const {self, partition, incarnation, now, log} = options;
 	let fleet: FleetRows | undefined;
 	/** When the fleet's rows were first known, in steady milliseconds. */
@@ -75,7 +75,7 @@
 	let isBusy = false;
 	let hasRefused = false;
 
-	const book = createShareBook({...options, countHosts: () => Math.max(1, fleet?.hosts.size ?? 1)});
+	const book = createLocalShares({...options, countHosts: () => Math.max(1, fleet?.hosts.size ?? 1)});
 	const home = createRateAllocator({...options, findFleet: () => fleet});
 	const findRow = () => fleet?.rateAllocators.get(partition);
 
@@ -98,7 +98,7 @@
 		return true;
 	};
 
-	const units = createUnitQueue({
+	const units = createTokenQueue({
 		hasHome: () => findRow() !== undefined,
 		async ask(workspace, needed) {
 			const row = findRow();
@@ -107,7 +107,7 @@
 				await ask(row, [claim], unitsTimeout);
 			}
 
-			return (book.findShare(workspace)?.level ?? 0) >= 1;
+			return (book.findShare(workspace)?.tokens ?? 0) >= 1;
 		},
 		now,
 	});
@@ -115,7 +115,7 @@
 	const claim = async (row: RateAllocatorRow) => {
 		claimedAt = now().steady;
 		if (answeredEpoch !== row.epoch) {
-			book.forgetClaimed();
+			book.clearClaimed();
 		}
 
 		const claims = book.listClaims();
@@ -127,7 +127,7 @@
 		if (await ask(row, claims)) {
 			shownAt = now().steady;
 			hasRefused = false;
-			book.noteClaimed(claims);
+			book.recordClaimed(claims);
 		}
 	};
 
@@ -148,7 +148,7 @@
 
 	/** Whether it is this host's turn to take a place that is empty or whose holder is silent. */
 	const isVacant = (row: RateAllocatorRow | undefined, rows: FleetRows): boolean => {
-		const proof = options.findFleetProof();
+		const proof = options.findFleetConfirmedAt();
 		const since = row === undefined ? knownSince : unansweredSince;
 		if (since === undefined || proof === undefined || findElapsed(proof, now()) >= proofLimit || row?.holder === self) {
 			return false;
@@ -166,7 +166,7 @@
 			workspace,
 			...limits,
 			held: share && findHeldRate(share, now()),
-			saved: share?.level,
+			saved: share?.tokens,
 			demand: share && findDemand(share, now()),
 			home: findRow()?.holder,
 			isPoolEmpty: units.isPoolEmpty(workspace),
@@ -180,13 +180,13 @@
 				return {isTaken: true, retryAfter: 0};
 			}
 
-			const first = book.take(workspace, limits, true);
+			const first = book.takeOperation(workspace, limits, true);
 			if (first.isTaken) {
 				return first;
 			}
 
 			await units.wait(workspace);
-			const second = book.take(workspace, limits, false);
+			const second = book.takeOperation(workspace, limits, false);
 			if (!second.isTaken) {
 				hasRefused = true;
 				logRefusal(workspace, limits);
@@ -209,7 +209,7 @@
 			knownSince ??= now().steady;
 		},
 		step() {
-			if (fleet === undefined || options.findFleetProof() === undefined || isBusy || !fleet.hosts.has(self)) {
+			if (fleet === undefined || options.findFleetConfirmedAt() === undefined || isBusy || !fleet.hosts.has(self)) {
 				return;
 			}
 
--- a/packages/sessions/create-rate-allocator.ts
+++ b/packages/sessions/create-rate-allocator.ts
@@ -16,7 +16,7 @@
 	readonly findLimits: () => ReadonlyMap<string, WorkspaceLimits>;
 	readonly findFleet: () => FleetRows | undefined;
 	/** Moment as of which the fleet's rows are known. */
-	readonly findFleetProof: () => Instant | undefined;
+	readonly findFleetConfirmedAt: () => Instant | undefined;
 	readonly now: () => Instant;
 };
 
@@ -50,7 +50,7 @@
 	const isHome = () => findRow()?.holder === self && findRow()?.incarnation === incarnation;
 
 	const hasHomeLease = () => {
-		const proof = options.findFleetProof();
+		const proof = options.findFleetConfirmedAt();
 		return isHome() && proof !== undefined && findLeaseLeft(proof, now()) > 0;
 	};
 
--- a/packages/sessions/create-rate-partitions.ts
+++ b/packages/sessions/create-rate-limiter.ts
@@ -1,11 +1,11 @@
-import {createRateShares} from './create-rate-shares.ts';
+import {createPartitionLimiter} from './create-partition-limiter.ts';
 import {findRatePartition} from './find-rate-partition.ts';
 import {ratePartitionCount} from './rate-partition-count.ts';
-import type {RateShares} from './rate-shares.ts';
+import type {RateLimiter} from './rate-limiter.ts';
 
 /** Creates a host's shares of all rates: one set for each partition of the workspaces, so that no host shares out all of them. */
-export function createRatePartitions(options: Omit<Parameters<typeof createRateShares>[0], 'partition'>): RateShares {
-	const partitions = Array.from({length: ratePartitionCount}, (_, partition) => createRateShares({...options, partition}));
+export function createRateLimiter(options: Omit<Parameters<typeof createPartitionLimiter>[0], 'partition'>): RateLimiter {
+	const partitions = Array.from({length: ratePartitionCount}, (_, partition) => createPartitionLimiter({...options, partition}));
 	return {
 		takeOperation: async workspace => partitions[findRatePartition(workspace)]!.takeOperation(workspace),
 		claimRates: async claims => partitions[claims.partition]?.claimRates(claims) ?? 'notAllocator',
--- a/packages/sessions/create-unit-queue.ts
+++ b/packages/sessions/create-token-queue.ts
@@ -9,7 +9,7 @@
 };
 
 /** Callers who wait for an operation that the home gives at once. */
-type UnitQueue = {
+type TokenQueue = {
 	/** Waits until the home was asked on behalf of a caller. */
 	readonly wait: (workspace: string) => Promise<void>;
 	/** Whether the home had nothing left a moment ago. */
@@ -25,7 +25,7 @@
  * One question is under way at a time for a workspace; it asks for exactly as many operations as callers wait, so that
  * none is left over that a host would save up beyond the bound.
  */
-export function createUnitQueue({hasHome, ask, now}: Options): UnitQueue {
+export function createTokenQueue({hasHome, ask, now}: Options): TokenQueue {
 	/** Questions that are under way, by workspace. */
 	const asking = new Map<string, Promise<unknown>>();
 	/** Callers who wait for the next question, by workspace. */
--- a/packages/sessions/demand-fade.ts
+++ b/packages/sessions/demand-decay-ms.ts
@@ -1,2 +1,2 @@
 /** Milliseconds in which the memory of demand fades to a third. */
-export const demandFade = 1500;
+export const demandDecayMs = 1500;
--- a/packages/sessions/find-demand.ts
+++ b/packages/sessions/find-demand.ts
@@ -1,8 +1,8 @@
-import {demandFade} from './demand-fade.ts';
+import {demandDecayMs} from './demand-decay-ms.ts';
 import type {Instant} from './instant.ts';
 import type {ShareState} from './share-state.ts';
 
 /** Finds the operations a second that callers ask for, smoothed. */
 export function findDemand({demand, demandAt}: ShareState, now: Instant): number {
-	return demand * Math.exp(-Math.max(0, now.steady - demandAt) / demandFade);
+	return demand * Math.exp(-Math.max(0, now.steady - demandAt) / demandDecayMs);
 }
--- a/packages/sessions/is-served-singly.ts
+++ b/packages/sessions/is-allocated-on-demand.ts
@@ -15,6 +15,6 @@
  *
  * With many hosts and little demand at each, shares would lie idle nearly everywhere; the home's pool then serves all.
  */
-export function isServedSingly({limit, hostCount, demand}: Options): boolean {
+export function isAllocatedOnDemand({limit, hostCount, demand}: Options): boolean {
 	return limit < sparseShare * hostCount && demand < sparseShare;
 }
--- a/packages/sessions/rate-shares.ts
+++ b/packages/sessions/rate-limiter.ts
@@ -2,7 +2,7 @@
 import type {FleetRows} from './fleet-rows.ts';
 
 /** A host's shares of the rates, and the home of the rates if this host is it. */
-export type RateShares = {
+export type RateLimiter = {
 	/** Takes an operation; else says after how many milliseconds to come back. */
 	readonly takeOperation: (workspace: string) => Promise<{readonly isTaken: boolean; readonly retryAfter: number}>;
 	/** Answers the claims of a host if this one is the home. */
--- a/packages/sessions/share-state.ts
+++ b/packages/sessions/share-state.ts
@@ -5,11 +5,11 @@
 	/** Operations a second that the home granted. */
 	readonly rate: number;
 	/** When the share was asked for. */
-	readonly askedAt: Instant;
+	readonly requestedAt: Instant;
 	/** Milliseconds for which it holds from then. */
-	readonly span: number;
+	readonly spanMs: number;
 	/** Operations that may run now. */
-	readonly level: number;
+	readonly tokens: number;
 	/** Steady milliseconds when the level was last brought up to date. */
 	readonly refilledAt: number;
 	/** Operations a second that callers ask for, smoothed. */
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -4,7 +4,7 @@
 import {createGateway} from './create-gateway.ts';
 import {createGateways} from './create-gateways.ts';
 import {createHostKnowledge} from './create-host-knowledge.ts';
-import {createRatePartitions} from './create-rate-partitions.ts';
+import {createRateLimiter} from './create-rate-limiter.ts';
 import {createSessionGroup} from './create-session-group.ts';
 import {createSessionRegistry} from './create-session-registry.ts';
 import {createTableReader} from './create-table-reader.ts';
@@ -105,13 +105,13 @@
 		log,
 	});
 
-	const rates = createRatePartitions({
+	const rates = createRateLimiter({
 		self: own.name,
 		incarnation: own.incarnation,
 		bound: profile.rateBound,
 		findLimits: () => findDirectory()?.directory.limits ?? new Map(),
 		findPeer,
-		findFleetProof: () => findProof('fleet'),
+		findFleetConfirmedAt: () => findProof('fleet'),
 		store,
 		now,
 		log,
--- a/packages/sessions/take-operation.test.ts
+++ b/packages/sessions/take-operation.test.ts
@@ -18,7 +18,7 @@
 			const taken: number[] = [];
 			for (const weight of used) {
 				let share: ShareState = {
-					rate: rate * weight / sum, askedAt: at(0), span: 1e9, level: 0, refilledAt: 0, demand: 0, demandAt: 0,
+					rate: rate * weight / sum, requestedAt: at(0), spanMs: 1e9, tokens: 0, refilledAt: 0, demand: 0, demandAt: 0,
 				};
 				for (let now = 0; now < 16_000; now += 20) {
 					const outcome = takeOperation(share, {
--- a/packages/sessions/take-operation.ts
+++ b/packages/sessions/take-operation.ts
@@ -1,12 +1,12 @@
 import {createShareState} from './create-share-state.ts';
-import {demandFade} from './demand-fade.ts';
+import {demandDecayMs} from './demand-decay-ms.ts';
 import {findDemand} from './find-demand.ts';
 import {findHeldRate} from './find-held-rate.ts';
-import {findSpareOperations} from './find-spare-operations.ts';
+import {findBurstBudget} from './find-burst-budget.ts';
 import type {Instant} from './instant.ts';
 import type {RateBound} from './rate-bound.ts';
 import type {ShareState} from './share-state.ts';
-import {spareParts} from './spare-parts.ts';
+import {burstBudgetFractions} from './burst-budget-fractions.ts';
 import type {WorkspaceLimits} from './workspace-limits.ts';
 
 type Options = {
@@ -48,17 +48,17 @@
 		limits, bound, hostCount, now, isFirst,
 	} = options;
 	const old = share ?? createShareState(now);
-	const spare = findSpareOperations(limits, bound);
+	const spare = findBurstBudget(limits, bound);
 	const held = findHeldRate(old, now).rate;
-	const unasked = spareParts.unasked * spare * millisecondsPerSecond / bound.window / hostCount;
+	const unasked = burstBudgetFractions.unallocated * spare * millisecondsPerSecond / bound.window / hostCount;
 	const rate = held + unasked;
-	const capacity = spare * ((spareParts.savedEvenly / hostCount) + (spareParts.savedByShare * held / Math.max(limits.rate, 1e-9)));
+	const capacity = spare * ((burstBudgetFractions.bucketPerHost / hostCount) + (burstBudgetFractions.bucketByShare * held / Math.max(limits.rate, 1e-9)));
 	const elapsed = Math.max(0, now.steady - old.refilledAt);
-	const ceiling = Math.max(capacity, Math.min(old.level, unitsKept));
-	const level = Math.min(ceiling, old.level + (elapsed * rate / millisecondsPerSecond));
-	const known = {...(isFirst ? addDemand(old, now) : old), level, refilledAt: now.steady};
+	const ceiling = Math.max(capacity, Math.min(old.tokens, unitsKept));
+	const level = Math.min(ceiling, old.tokens + (elapsed * rate / millisecondsPerSecond));
+	const known = {...(isFirst ? addDemand(old, now) : old), tokens: level, refilledAt: now.steady};
 	if (level >= 1) {
-		return {share: {...known, level: level - 1}, isTaken: true, retryAfter: 0};
+		return {share: {...known, tokens: level - 1}, isTaken: true, retryAfter: 0};
 	}
 
 	const wait = (1 - level) * millisecondsPerSecond / rate;
@@ -66,5 +66,5 @@
 }
 
 function addDemand(share: ShareState, now: Instant): ShareState {
-	return {...share, demand: findDemand(share, now) + (millisecondsPerSecond / demandFade), demandAt: now.steady};
+	return {...share, demand: findDemand(share, now) + (millisecondsPerSecond / demandDecayMs), demandAt: now.steady};
 }
