--- a/packages/sessions/create-host-knowledge.ts
+++ b/packages/sessions/create-store-cache.ts
@@ -1,15 +1,15 @@
-import type {Directory} from './directory.ts';
+import type {SessionConfiguration} from './session-configuration.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {Instant} from './instant.ts';
-import type {KnownDirectory} from './known-directory.ts';
-import type {KnownTable} from './known-table.ts';
+import type {CachedConfiguration} from './cached-configuration.ts';
+import type {CachedTable} from './cached-table.ts';
 import type {ListedInstance} from './listed-instance.ts';
 import {parseFleetRows} from './parse-fleet-rows.ts';
 import type {SessionLog} from './session-log.ts';
 import type {StoreTable} from './store-table.ts';
 
 type Options = {
-	readonly decodeDirectory: (text: string) => Directory;
+	readonly decodeConfiguration: (text: string) => SessionConfiguration;
 	readonly decodeInstance: (id: string, text: string) => ListedInstance | undefined;
 	/** Called with the fleet's rows when they have changed. */
 	readonly onFleet: (fleet: FleetRows) => void;
@@ -17,40 +17,40 @@
 };
 
 /** What a host knows of the store, decoded. */
-type HostKnowledge = {
-	readonly takeTable: (table: StoreTable, newer: KnownTable) => void;
+type StoreCache = {
+	readonly updateTable: (table: StoreTable, newer: CachedTable) => void;
 	/** The newest configuration and the moment as of which it is known. */
-	readonly findDirectory: () => KnownDirectory | undefined;
+	readonly findConfiguration: () => CachedConfiguration | undefined;
 	readonly listInstances: () => readonly ListedInstance[];
 	readonly findFleet: () => FleetRows | undefined;
 	/** Moment as of which a table is known. */
-	readonly findProof: (table: StoreTable) => Instant | undefined;
+	readonly findConfirmedAt: (table: StoreTable) => Instant | undefined;
 };
 
 /** Creates what a host knows of the store. A configuration never goes back to an older version. */
-export function createHostKnowledge({decodeDirectory, decodeInstance, onFleet, log}: Options): HostKnowledge {
-	const tables = new Map<StoreTable, KnownTable>();
-	let known: KnownDirectory | undefined;
+export function createStoreCache({decodeConfiguration: decodeDirectory, decodeInstance, onFleet, log}: Options): StoreCache {
+	const tables = new Map<StoreTable, CachedTable>();
+	let known: CachedConfiguration | undefined;
 	let directoryRowVersion = -1;
 	let listed: readonly ListedInstance[] = [];
 	let fleet: FleetRows | undefined;
 
-	const takeConfiguration = ({rows, provenAt}: KnownTable) => {
+	const takeConfiguration = ({rows, confirmedAt: provenAt}: CachedTable) => {
 		const row = rows.get('config');
 		if (row?.value === undefined) {
 			return;
 		}
 
 		if (known !== undefined && row.version === directoryRowVersion) {
-			known = {...known, provenAt};
+			known = {...known, confirmedAt: provenAt};
 			return;
 		}
 
 		try {
 			const directory = decodeDirectory(row.value);
-			if (known === undefined || directory.version >= known.directory.version) {
+			if (known === undefined || directory.version >= known.configuration.version) {
 				directoryRowVersion = row.version;
-				known = {directory, provenAt};
+				known = {configuration: directory, confirmedAt: provenAt};
 				log.info({version: directory.version, routes: directory.routes.size, workspaces: directory.limits.size}, 'configuration: A version is in force.');
 			}
 		} catch (error) {
@@ -58,19 +58,19 @@
 		}
 	};
 
-	const takeInstances = ({rows}: KnownTable) => {
+	const takeInstances = ({rows}: CachedTable) => {
 		listed = [...rows]
 			.map(([id, row]) => decodeInstance(id, row.value ?? ''))
 			.filter(entry => entry !== undefined);
 	};
 
-	const takeFleet = ({rows}: KnownTable) => {
+	const takeFleet = ({rows}: CachedTable) => {
 		fleet = parseFleetRows(rows.values(), log);
 		onFleet(fleet);
 	};
 
 	return {
-		takeTable(table, newer) {
+		updateTable(table, newer) {
 			const before = tables.get(table);
 			tables.set(table, newer);
 			if (table === 'configuration') {
@@ -79,9 +79,9 @@
 				(table === 'instances' ? takeInstances : takeFleet)(newer);
 			}
 		},
-		findDirectory: () => known,
+		findConfiguration: () => known,
 		listInstances: () => listed,
 		findFleet: () => fleet,
-		findProof: table => tables.get(table)?.provenAt,
+		findConfirmedAt: table => tables.get(table)?.confirmedAt,
 	};
 }
--- a/packages/sessions/create-store-follower.ts
+++ b/packages/sessions/create-store-follower.ts
@@ -1,4 +1,4 @@
-import type {createTableKnowledge} from './create-table-knowledge.ts';
+import type {createTableCache} from './create-table-cache.ts';
 import {findAlignedWait} from './find-aligned-wait.ts';
 import {followTable} from './follow-table.ts';
 import type {Instant} from './instant.ts';
@@ -10,7 +10,7 @@
 type Options = {
 	readonly self: string;
 	readonly store: Store;
-	readonly knowledge: ReturnType<typeof createTableKnowledge>;
+	readonly knowledge: ReturnType<typeof createTableCache>;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
 };
@@ -21,7 +21,7 @@
 	readonly start: () => void;
 	readonly stop: () => void;
 	/** Since when the tables are followed, in steady milliseconds; undefined when they are not. */
-	readonly since: () => number | undefined;
+	readonly followedSince: () => number | undefined;
 };
 
 /** Milliseconds that calls which follow the tables may wait for changes. */
@@ -51,7 +51,7 @@
 					now,
 					known: knowledge.findTable(table),
 					onTable(newer) {
-						knowledge.take(table, newer);
+						knowledge.updateTable(table, newer);
 					},
 					log,
 					signal: abort.signal,
@@ -63,6 +63,6 @@
 			abort = undefined;
 			startedAt = undefined;
 		},
-		since: () => startedAt,
+		followedSince: () => startedAt,
 	};
 }
--- a/packages/sessions/create-table-knowledge.ts
+++ b/packages/sessions/create-table-cache.ts
@@ -1,46 +1,46 @@
 import {findElapsed} from './find-elapsed.ts';
 import type {Instant} from './instant.ts';
 import {isSameMark} from './is-same-mark.ts';
-import type {KnownTable} from './known-table.ts';
+import type {CachedTable} from './cached-table.ts';
 import type {StoreTable} from './store-table.ts';
 
 type Options = {
-	readonly onTable: (table: StoreTable, known: KnownTable) => void;
+	readonly onTable: (table: StoreTable, known: CachedTable) => void;
 	readonly now: () => Instant;
 };
 
 /** What a host knows of the store's tables, and how old that is. */
-type TableKnowledge = {
-	readonly findTable: (table: StoreTable) => KnownTable | undefined;
+type TableCache = {
+	readonly findTable: (table: StoreTable) => CachedTable | undefined;
 	/** Milliseconds since the store confirmed each table. */
 	readonly listAges: () => ReadonlyMap<StoreTable, number>;
-	readonly list: () => ReadonlyArray<readonly [StoreTable, KnownTable]>;
+	readonly listTables: () => ReadonlyArray<readonly [StoreTable, CachedTable]>;
 	/** Takes a table as it was read or told, unless something newer is known. */
-	readonly take: (table: StoreTable, newer: KnownTable) => void;
+	readonly updateTable: (table: StoreTable, newer: CachedTable) => void;
 	/** Milliseconds until the proof of some table is older than its limit; not positive when one is, or is missing. */
-	readonly findFreshLeft: (limits: Readonly<Record<StoreTable, number>>) => number;
+	readonly findFreshRemaining: (limits: Readonly<Record<StoreTable, number>>) => number;
 	/** Waits until a table is taken, at the most for some milliseconds. */
-	readonly waitForNews: (limit: number) => Promise<void>;
+	readonly waitForUpdate: (limit: number) => Promise<void>;
 };
 
 /** Creates what a host knows of the store's tables. */
-export function createTableKnowledge({onTable, now}: Options): TableKnowledge {
-	const known = new Map<StoreTable, KnownTable>();
+export function createTableCache({onTable, now}: Options): TableCache {
+	const known = new Map<StoreTable, CachedTable>();
 	const waiters = new Set<() => void>();
 
 	const findAge = (table: StoreTable) => {
 		const state = known.get(table);
-		return state === undefined ? Number.POSITIVE_INFINITY : findElapsed(state.provenAt, now());
+		return state === undefined ? Number.POSITIVE_INFINITY : findElapsed(state.confirmedAt, now());
 	};
 
 	return {
 		findTable: table => known.get(table),
-		list: () => [...known],
+		listTables: () => [...known],
 		listAges: () => new Map([...known.keys()].map(table => [table, findAge(table)])),
-		take(table, newer) {
+		updateTable(table, newer) {
 			const older = known.get(table);
 			const isNewer = older === undefined || newer.version > older.version
-				|| (newer.version === older.version && newer.provenAt.steady >= older.provenAt.steady);
+				|| (newer.version === older.version && newer.confirmedAt.steady >= older.confirmedAt.steady);
 			if (!isNewer) {
 				return;
 			}
@@ -54,8 +54,8 @@
 				wake();
 			}
 		},
-		findFreshLeft: limits => Math.min(...Object.entries(limits).map(([table, limit]) => limit - findAge(table as StoreTable))),
-		waitForNews: async limit => new Promise<void>(resolve => {
+		findFreshRemaining: limits => Math.min(...Object.entries(limits).map(([table, limit]) => limit - findAge(table as StoreTable))),
+		waitForUpdate: async limit => new Promise<void>(resolve => {
 			const finish = () => {
 				clearTimeout(timer);
 				waiters.delete(finish);
--- a/packages/sessions/create-table-reader.test.ts
+++ b/packages/sessions/create-table-sync.test.ts
@@ -1,15 +1,15 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {rankHosts} from '@sapphirefall/decisions';
 import {expect} from 'chai';
-import {createTableReader} from './create-table-reader.ts';
+import {createTableSync} from './create-table-sync.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {Instant} from './instant.ts';
-import type {KnownTable} from './known-table.ts';
+import type {CachedTable} from './cached-table.ts';
 import type {Store} from './store.ts';
 import type {StoreOutcome} from './store-outcome.ts';
 import type {StoreTable} from './store-table.ts';
 import type {TableRead} from './table-read.ts';
-import type {TableReader} from './table-reader.ts';
+import type {TableSync} from './table-sync.ts';
 
 const now = (): Instant => ({steady: performance.now(), wall: performance.now()});
 const log = {info: () => undefined, warn: () => undefined, debug: () => undefined};
@@ -71,7 +71,7 @@
 	const hosts = zones.flatMap(zone => Array.from({length: count}, (_, index) => ({
 		name: `${zone}${index}`, zone, address: '', incarnation: 1,
 	})));
-	const readers = new Map<string, TableReader>();
+	const readers = new Map<string, TableSync>();
 	const proven = new Map<string, Map<StoreTable, number>>();
 	const dark = new Set<string>();
 	/** Zone that is cut off from the others. */
@@ -80,7 +80,7 @@
 	for (const {name, zone} of hosts) {
 		const tables = new Map<StoreTable, number>();
 		proven.set(name, tables);
-		readers.set(name, createTableReader({
+		readers.set(name, createTableSync({
 			self: name,
 			zone,
 			isFirstStart: false,
@@ -93,8 +93,8 @@
 				return isReached(name, host) ? first : undefined;
 			}),
 			register: async () => undefined,
-			onTable(table: StoreTable, known: KnownTable) {
-				tables.set(table, known.provenAt.steady);
+			onTable(table: StoreTable, known: CachedTable) {
+				tables.set(table, known.confirmedAt.steady);
 			},
 			listPositions: () => [],
 			onPositions: () => undefined,
@@ -130,7 +130,7 @@
 	};
 }
 
-describe('createTableReader', () => {
+describe('createTableSync', () => {
 	const zones = ['a', 'b', 'c'];
 	const names = zones.flatMap(zone => Array.from({length: 6}, (_, index) => `${zone}${index}`));
 	const [fleetReader = ''] = rankHosts('reader', names);
--- a/packages/sessions/create-table-reader.ts
+++ b/packages/sessions/create-table-sync.ts
@@ -1,24 +1,24 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {AskedTable} from './asked-table.ts';
-import {createPeerTable} from './create-peer-table.ts';
+import {createTableUpdate} from './create-table-update.ts';
 import {createSourceChoice} from './create-source-choice.ts';
 import {createStoreFollower} from './create-store-follower.ts';
-import {createTableKnowledge} from './create-table-knowledge.ts';
+import {createTableCache} from './create-table-cache.ts';
 import {findRenewal} from './find-renewal.ts';
 import {findTableMark} from './find-table-mark.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {HostRow} from './host-row.ts';
 import type {Instant} from './instant.ts';
 import {isSameMark} from './is-same-mark.ts';
-import type {KnownTable} from './known-table.ts';
-import {mergePeerTable} from './merge-peer-table.ts';
+import type {CachedTable} from './cached-table.ts';
+import {mergeTableUpdate} from './merge-table-update.ts';
 import type {PositionOfAge} from './position-of-age.ts';
 import type {SessionLog} from './session-log.ts';
 import {settleSpan} from './settle-span.ts';
 import type {Store} from './store.ts';
 import type {StoreTable} from './store-table.ts';
-import type {TableReader} from './table-reader.ts';
+import type {TableSync} from './table-sync.ts';
 
 type Options = {
 	readonly self: string;
@@ -30,7 +30,7 @@
 	readonly findPeer: (host: string) => FleetPeer | undefined;
 	/** Registers this host in the store. */
 	readonly register: () => Promise<void>;
-	readonly onTable: (table: StoreTable, known: KnownTable) => void;
+	readonly onTable: (table: StoreTable, known: CachedTable) => void;
 	/** How far the logs of the primaries were, as this host knows. */
 	readonly listPositions: () => readonly PositionOfAge[];
 	/** Called with what another host knows of the logs; ages count from the moment given. */
@@ -65,7 +65,7 @@
 const tables: readonly StoreTable[] = ['configuration', 'fleet', 'instances'];
 
 /** Creates what keeps a host's knowledge of the store: it reads the store itself, or asks another host; see `chooseSource`. */
-export function createTableReader(options: Options): TableReader {
+export function createTableSync(options: Options): TableSync {
 	const {self, store, now, log} = options;
 	/** Tables that a source must tell whole, since rows were dropped. */
 	const wantedWhole = new Set<StoreTable>();
@@ -74,7 +74,7 @@
 	let hasLearned = false;
 	const startedAt = now().steady;
 
-	const knowledge = createTableKnowledge({onTable: options.onTable, now});
+	const knowledge = createTableCache({onTable: options.onTable, now});
 
 	const follower = createStoreFollower({
 		self, store, knowledge, now, log,
@@ -85,9 +85,9 @@
 	const isStarting = () => options.isFirstStart && !hasLearned && now().steady - startedAt < startPatience;
 
 	/** Steady milliseconds at which reading the store must have told enough. */
-	const findReadEnd = () => (follower.since() ?? now().steady) + readPatience;
+	const findReadEnd = () => (follower.followedSince() ?? now().steady) + readPatience;
 
-	const hasNewRows = (asked: Asked) => knowledge.list().some(([table, {mark}]) => !isSameMark(asked.get(table)?.mark, mark));
+	const hasNewRows = (asked: Asked) => knowledge.listTables().some(([table, {mark}]) => !isSameMark(asked.get(table)?.mark, mark));
 
 	/** Waits until an asking host can be told something; reads the store if too little is known. */
 	const waitForAsker = async (asked: Asked, wait: number) => {
@@ -104,7 +104,7 @@
 				until = Math.min(until, at + joinSpan);
 			}
 
-			const freshLeft = knowledge.findFreshLeft(answerLimits);
+			const freshLeft = knowledge.findFreshRemaining(answerLimits);
 			const mayRead = freshLeft <= 0 && !isStarting();
 			if (mayRead) {
 				follower.start();
@@ -115,7 +115,7 @@
 				return;
 			}
 
-			await knowledge.waitForNews(freshLeft > 0 ? Math.min(end - at, freshLeft) : end - at);
+			await knowledge.waitForUpdate(freshLeft > 0 ? Math.min(end - at, freshLeft) : end - at);
 		}
 	};
 
@@ -123,8 +123,8 @@
 	const poll = async (source: string): Promise<boolean> => {
 		const sentAt = now();
 		const ages = knowledge.listAges();
-		const asked: Asked = new Map(knowledge.list().map(([table, {mark}]) => [table, {mark: wantedWhole.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
-		const wait = Math.max(pollWaits.least, Math.min(pollWaits.most, knowledge.findFreshLeft(answerLimits)));
+		const asked: Asked = new Map(knowledge.listTables().map(([table, {mark}]) => [table, {mark: wantedWhole.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
+		const wait = Math.max(pollWaits.least, Math.min(pollWaits.most, knowledge.findFreshRemaining(answerLimits)));
 		const answer = await options.findPeer(source)?.readTables(asked, wait);
 		if (answer === undefined) {
 			return false;
@@ -138,12 +138,12 @@
 				continue;
 			}
 
-			const merged = mergePeerTable(told, {older, answeredAfter});
+			const merged = mergeTableUpdate(told, {older, answeredAfter});
 			if (merged === undefined) {
 				wantedWhole.add(told.table);
 			} else {
 				wantedWhole.delete(told.table);
-				knowledge.take(told.table, merged);
+				knowledge.updateTable(told.table, merged);
 			}
 		}
 
@@ -157,8 +157,8 @@
 		if (outcome.kind === 'done') {
 			const {rows: list, version, sentAt} = outcome.value;
 			const rows = new Map(list.map(row => [row.key, row]));
-			knowledge.take(table, {
-				rows, version, mark: findTableMark(rows), provenAt: sentAt, reader: self,
+			knowledge.updateTable(table, {
+				rows, version, mark: findTableMark(rows), confirmedAt: sentAt, reader: self,
 			});
 		} else {
 			log.warn({table, outcome: outcome.kind}, 'store: The table cannot be read at the start.');
@@ -183,7 +183,7 @@
 	const stepDirect = async () => {
 		follower.start();
 		if (now().steady > findReadEnd()) {
-			if (knowledge.findFreshLeft(ageLimits) <= 0) {
+			if (knowledge.findFreshRemaining(ageLimits) <= 0) {
 				sources.avoid(self);
 			} else {
 				hasLearned = true;
@@ -223,11 +223,11 @@
 			const at = now();
 			return {
 				waited: Math.max(0, at.steady - askedAt.steady),
-				tables: knowledge.list().map(([table, known]) => createPeerTable(table, {known, asked: asked.get(table), now: at})),
+				tables: knowledge.listTables().map(([table, known]) => createTableUpdate(table, {known, asked: asked.get(table), now: at})),
 				positions: options.listPositions(),
 			};
 		},
-		isReading: () => follower.since() !== undefined,
+		isStoreReader: () => follower.followedSince() !== undefined,
 		stop() {
 			isStopped = true;
 			follower.stop();
--- a/packages/sessions/create-peer-table.ts
+++ b/packages/sessions/create-table-update.ts
@@ -1,20 +1,20 @@
 import type {AskedTable} from './asked-table.ts';
 import {findElapsed} from './find-elapsed.ts';
 import type {Instant} from './instant.ts';
-import type {KnownTable} from './known-table.ts';
-import type {PeerTable} from './peer-table.ts';
+import type {CachedTable} from './cached-table.ts';
+import type {TableUpdate} from './table-update.ts';
 import type {StoreTable} from './store-table.ts';
 
 type Options = {
-	readonly known: KnownTable;
+	readonly known: CachedTable;
 	readonly asked: AskedTable | undefined;
 	readonly now: Instant;
 };
 
 /** Creates what another host is told of a table: the rows that are newer than all it knows, or all. */
-export function createPeerTable(table: StoreTable, {known, asked, now}: Options): PeerTable {
+export function createTableUpdate(table: StoreTable, {known, asked, now}: Options): TableUpdate {
 	const newest = asked?.mark?.newest ?? -1;
-	const {rows, version, mark, provenAt, reader} = known;
+	const {rows, version, mark, confirmedAt: provenAt, reader} = known;
 	return {
 		table,
 		version,
--- a/packages/sessions/find-access.test.ts
+++ b/packages/sessions/find-access.test.ts
@@ -7,15 +7,15 @@
 } as const;
 
 const known = {
-	directory: {
+	configuration: {
 		version: 7,
 		routes: new Map([['ponds', route], ['open', {...route, database: 'open', isPublic: true}]]),
-		connectionCaps: new Map([['pondbook', 34]]),
-		workspaceOfKey: new Map([[hashKey('good'), 'upper']]),
+		connectionLimits: new Map([['pondbook', 34]]),
+		workspaceByKeyDigest: new Map([[hashKey('good'), 'upper']]),
 		limits: new Map([['upper', {rate: 10, burst: 10}]]),
-		transactionIdle: 3000,
+		transactionIdleLimit: 3000,
 	},
-	provenAt: {steady: 0, wall: 0},
+	confirmedAt: {steady: 0, wall: 0},
 };
 
 describe('findAccess', () => {
@@ -48,7 +48,7 @@
 	for (const {name, database, key, now, expected} of cases) {
 		it(name, () => {
 			const access = findAccess(known, {
-				database, keyDigest: hashKey(key), revocationLimit: 5000, newsLimit: 3000, now: {steady: now, wall: 0},
+				database, keyDigest: hashKey(key), revocationLimitMs: 5000, configurationLimitMs: 3000, now: {steady: now, wall: 0},
 			});
 			expect(access.kind === 'allowed' ? access.workspace : access.code).to.equal(expected);
 		});
@@ -56,7 +56,7 @@
 
 	it('refuses everything before a configuration was read', () => {
 		expect(findAccess(undefined, {
-			database: 'ponds', keyDigest: hashKey('good'), revocationLimit: 5000, newsLimit: 3000, now: {steady: 0, wall: 0},
+			database: 'ponds', keyDigest: hashKey('good'), revocationLimitMs: 5000, configurationLimitMs: 3000, now: {steady: 0, wall: 0},
 		})).to.include({kind: 'denied', code: 'busy'});
 	});
 });
--- a/packages/sessions/find-access.ts
+++ b/packages/sessions/find-access.ts
@@ -2,13 +2,13 @@
 import type {Caller} from './caller.ts';
 import {findElapsed} from './find-elapsed.ts';
 import type {Instant} from './instant.ts';
-import type {KnownDirectory} from './known-directory.ts';
+import type {CachedConfiguration} from './cached-configuration.ts';
 
 type Question = Caller & {
 	/** Milliseconds after which a withdrawn key must have stopped working. */
-	readonly revocationLimit: number;
+	readonly revocationLimitMs: number;
 	/** Milliseconds after which a new route or key must be known. */
-	readonly newsLimit: number;
+	readonly configurationLimitMs: number;
 	readonly now: Instant;
 };
 
@@ -27,23 +27,23 @@
  * A key counts only while the host knows that no newer configuration was accepted so long ago that the key must
  * have stopped working. A route or key that is not known may be new, so it is denied for good only by fresh knowledge.
  */
-export function findAccess(known: KnownDirectory | undefined, {database, keyDigest, revocationLimit, newsLimit, now}: Question): Access {
+export function findAccess(known: CachedConfiguration | undefined, {database, keyDigest, revocationLimitMs, configurationLimitMs, now}: Question): Access {
 	if (known === undefined) {
 		return {kind: 'denied', code: 'busy', reason: 'The configuration has not been read yet; retry after 500 ms'};
 	}
 
-	const {directory, provenAt} = known;
-	const age = findElapsed(provenAt, now);
-	const isOutdated = age >= Math.min(newsLimit, revocationLimit) - revocationMargin;
-	const route = directory.routes.get(database);
+	const {configuration, confirmedAt} = known;
+	const age = findElapsed(confirmedAt, now);
+	const isOutdated = age >= Math.min(configurationLimitMs, revocationLimitMs) - revocationMargin;
+	const route = configuration.routes.get(database);
 	if (route === undefined) {
 		return isOutdated ? outdated : {kind: 'denied', code: 'noDatabase', reason: 'No database has this name'};
 	}
 
-	const workspace = directory.workspaceOfKey.get(keyDigest);
+	const workspace = configuration.workspaceByKeyDigest.get(keyDigest);
 	if (route.isPublic) {
 		return {
-			kind: 'allowed', route, workspace: workspace ?? anonymousWorkspace, version: directory.version,
+			kind: 'allowed', route, workspace: workspace ?? anonymousWorkspace, version: configuration.version,
 		};
 	}
 
@@ -51,9 +51,9 @@
 		return isOutdated ? outdated : {kind: 'denied', code: 'badKey', reason: 'No workspace has this key'};
 	}
 
-	return age < revocationLimit - revocationMargin
+	return age < revocationLimitMs - revocationMargin
 		? {
-			kind: 'allowed', route, workspace, version: directory.version,
+			kind: 'allowed', route, workspace, version: configuration.version,
 		}
 		: outdated;
 }
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -1,7 +1,7 @@
 import type {AskedTable} from './asked-table.ts';
 import type {JobAnswer} from './job-answer.ts';
 import type {Job} from './job.ts';
-import type {PeerTable} from './peer-table.ts';
+import type {TableUpdate} from './table-update.ts';
 import type {PositionOfAge} from './position-of-age.ts';
 import type {RateClaim} from './rate-claim.ts';
 import type {RateGrant} from './rate-grant.ts';
@@ -9,7 +9,7 @@
 
 /** What another host knows of the store and of the groups' primaries. */
 type PeerKnowledge = {
-	readonly tables: readonly PeerTable[];
+	readonly tables: readonly TableUpdate[];
 	readonly positions: readonly PositionOfAge[];
 	/** Milliseconds that the other host waited for a change before it answered; ages count from then. */
 	readonly waited: number;
--- a/packages/sessions/follow-table.ts
+++ b/packages/sessions/follow-table.ts
@@ -4,7 +4,7 @@
 import {findProof} from './find-proof.ts';
 import {findTableMark} from './find-table-mark.ts';
 import type {Instant} from './instant.ts';
-import type {KnownTable} from './known-table.ts';
+import type {CachedTable} from './cached-table.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 import type {StoreClock} from './store-clock.ts';
@@ -20,8 +20,8 @@
 	readonly findWait: (now: number) => number;
 	readonly now: () => Instant;
 	/** What is known already, to go on from. */
-	readonly known: KnownTable | undefined;
-	readonly onTable: (known: KnownTable) => void;
+	readonly known: CachedTable | undefined;
+	readonly onTable: (known: CachedTable) => void;
 	readonly log: SessionLog;
 	/** Ends the following. */
 	readonly signal: AbortSignal;
@@ -84,7 +84,7 @@
 			rows: merged,
 			version,
 			mark: merged === known?.rows ? known.mark : findTableMark(merged),
-			provenAt: proof.provenAt,
+			confirmedAt: proof.provenAt,
 			reader,
 		};
 		isWhole = true;
--- a/packages/sessions/merge-peer-table.test.ts
+++ b/packages/sessions/merge-table-update.test.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
 import fc from 'fast-check';
-import {createPeerTable} from './create-peer-table.ts';
+import {createTableUpdate} from './create-table-update.ts';
 import {findTableMark} from './find-table-mark.ts';
-import type {KnownTable} from './known-table.ts';
-import {mergePeerTable} from './merge-peer-table.ts';
+import type {CachedTable} from './cached-table.ts';
+import {mergeTableUpdate} from './merge-table-update.ts';
 import type {StoreRow} from './store-row.ts';
 
 const moment = {steady: 1000, wall: 1000};
@@ -12,7 +12,7 @@
 type Change = {readonly key: string; readonly isDropped: boolean};
 
 /** Applies changes one after the other, each as a new version of the store. */
-function createTable(changes: readonly Change[]): KnownTable {
+function createTable(changes: readonly Change[]): CachedTable {
 	const rows = new Map<string, StoreRow>();
 	for (const [index, {key, isDropped}] of changes.entries()) {
 		rows.delete(key);
@@ -22,19 +22,19 @@
 	}
 
 	return {
-		rows, mark: findTableMark(rows), version: changes.length, provenAt: moment, reader: 'a1',
+		rows, mark: findTableMark(rows), version: changes.length, confirmedAt: moment, reader: 'a1',
 	};
 }
 
 const change = fc.record({key: fc.constantFrom('a', 'b', 'c', 'd'), isDropped: fc.boolean()});
 
-describe('mergePeerTable', () => {
+describe('mergeTableUpdate', () => {
 	it('makes up the other host\'s state from what is newer, or tells that rows were dropped', () => {
 		fc.assert(fc.property(fc.array(change, {maxLength: 12}), fc.array(change, {maxLength: 6}), (before, later) => {
 			const older = createTable(before);
 			const newer = createTable([...before, ...later]);
-			const told = createPeerTable('fleet', {known: newer, asked: {mark: older.mark, age: 0}, now: moment});
-			const merged = mergePeerTable(told, {older, answeredAfter: moment});
+			const told = createTableUpdate('fleet', {known: newer, asked: {mark: older.mark, age: 0}, now: moment});
+			const merged = mergeTableUpdate(told, {older, answeredAfter: moment});
 			const isDropped = [...older.rows.keys()].some(key => !newer.rows.has(key));
 			expect(merged === undefined).to.equal(isDropped);
 			if (merged !== undefined) {
@@ -45,14 +45,14 @@
 
 	it('takes all rows when they are asked for', () => {
 		const newer = createTable([{key: 'a', isDropped: false}, {key: 'b', isDropped: false}, {key: 'a', isDropped: true}]);
-		const told = createPeerTable('fleet', {known: newer, asked: undefined, now: moment});
-		expect(mergePeerTable(told, {older: createTable([{key: 'a', isDropped: false}]), answeredAfter: moment})?.rows).to.deep.equal(newer.rows);
+		const told = createTableUpdate('fleet', {known: newer, asked: undefined, now: moment});
+		expect(mergeTableUpdate(told, {older: createTable([{key: 'a', isDropped: false}]), answeredAfter: moment})?.rows).to.deep.equal(newer.rows);
 	});
 
 	it('keeps the rows that are known when nothing is newer', () => {
 		const known = createTable([{key: 'a', isDropped: false}]);
-		const told = createPeerTable('fleet', {known, asked: {mark: known.mark, age: 900}, now: moment});
+		const told = createTableUpdate('fleet', {known, asked: {mark: known.mark, age: 900}, now: moment});
 		expect(told.rows).to.deep.equal([]);
-		expect(mergePeerTable(told, {older: known, answeredAfter: moment})?.rows).to.equal(known.rows);
+		expect(mergeTableUpdate(told, {older: known, answeredAfter: moment})?.rows).to.equal(known.rows);
 	});
 });
--- a/packages/sessions/merge-peer-table.ts
+++ b/packages/sessions/merge-table-update.ts
@@ -1,12 +1,12 @@
 import type {Instant} from './instant.ts';
 import {findTableMark} from './find-table-mark.ts';
 import {isSameMark} from './is-same-mark.ts';
-import type {KnownTable} from './known-table.ts';
-import type {PeerTable} from './peer-table.ts';
+import type {CachedTable} from './cached-table.ts';
+import type {TableUpdate} from './table-update.ts';
 import type {StoreRow} from './store-row.ts';
 
 type Options = {
-	readonly older: KnownTable | undefined;
+	readonly older: CachedTable | undefined;
 	/** When the other host had waited and answered, at the earliest. */
 	readonly answeredAfter: Instant;
 };
@@ -17,7 +17,7 @@
  * @returns Undefined when the rows that were told do not make up the other host's state: it has dropped some, and must
  * be asked for all.
  */
-export function mergePeerTable(told: PeerTable, {older, answeredAfter}: Options): KnownTable | undefined {
+export function mergeTableUpdate(told: TableUpdate, {older, answeredAfter}: Options): CachedTable | undefined {
 	const rows = mergeRows(told, older);
 	const mark = rows === older?.rows ? older.mark : findTableMark(rows);
 	if (!isSameMark(mark, told.mark)) {
@@ -28,12 +28,12 @@
 		rows,
 		mark,
 		version: told.version,
-		provenAt: {steady: answeredAfter.steady - told.age, wall: answeredAfter.wall - told.age},
+		confirmedAt: {steady: answeredAfter.steady - told.age, wall: answeredAfter.wall - told.age},
 		reader: told.reader,
 	};
 }
 
-function mergeRows({rows, isWhole}: PeerTable, older: KnownTable | undefined): ReadonlyMap<string, StoreRow> {
+function mergeRows({rows, isWhole}: TableUpdate, older: CachedTable | undefined): ReadonlyMap<string, StoreRow> {
 	if (rows.length === 0 && !isWhole && older !== undefined) {
 		return older.rows;
 	}
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -3,12 +3,12 @@
 import {createFleetControl} from './create-fleet-control.ts';
 import {createGateway} from './create-gateway.ts';
 import {createGateways} from './create-gateways.ts';
-import {createHostKnowledge} from './create-host-knowledge.ts';
+import {createStoreCache} from './create-store-cache.ts';
 import {createRateLimiter} from './create-rate-limiter.ts';
 import {createSessionGroup} from './create-session-group.ts';
 import {createSessionRegistry} from './create-session-registry.ts';
-import {createTableReader} from './create-table-reader.ts';
-import type {Directory} from './directory.ts';
+import {createTableSync} from './create-table-sync.ts';
+import type {SessionConfiguration} from './session-configuration.ts';
 import {findAccess} from './find-access.ts';
 import {findConnectionLimit} from './find-connection-limit.ts';
 import {findElapsed} from './find-elapsed.ts';
@@ -17,7 +17,7 @@
 import type {HostProfile} from './host-profile.ts';
 import type {HostRow} from './host-row.ts';
 import type {Instant} from './instant.ts';
-import type {KnownTable} from './known-table.ts';
+import type {CachedTable} from './cached-table.ts';
 import type {ListedInstance} from './listed-instance.ts';
 import type {OpenLink} from './open-link.ts';
 import type {OrderPromotion} from './order-promotion.ts';
@@ -35,7 +35,7 @@
 	readonly orderPromotion: OrderPromotion;
 	/** Opens the way to another host. */
 	readonly createPeer: (address: string) => FleetPeer;
-	readonly decodeDirectory: (text: string) => Directory;
+	readonly decodeConfiguration: (text: string) => SessionConfiguration;
 	readonly decodeInstance: (id: string, text: string) => ListedInstance | undefined;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
@@ -63,8 +63,8 @@
 	};
 	let isStopping = false;
 
-	const knowledge = createHostKnowledge({
-		decodeDirectory: options.decodeDirectory,
+	const knowledge = createStoreCache({
+		decodeConfiguration: options.decodeConfiguration,
 		decodeInstance: options.decodeInstance,
 		onFleet(fleet) {
 			control.updateFleet(fleet);
@@ -72,8 +72,8 @@
 		},
 		log,
 	});
-	const {findDirectory, findFleet, listInstances, findProof} = knowledge;
-	const findWorkspace = () => findDirectory()?.directory.limits.keys().next().value;
+	const {findConfiguration, findFleet, listInstances, findConfirmedAt} = knowledge;
+	const findWorkspace = () => findConfiguration()?.configuration.limits.keys().next().value;
 
 	const findPeer = (name: string): FleetPeer | undefined => {
 		const address = findFleet()?.hosts.get(name)?.address;
@@ -94,7 +94,7 @@
 		listGroups: () => [...groups.values()],
 		listInstances,
 		isListFresh() {
-			const proof = findProof('instances');
+			const proof = findConfirmedAt('instances');
 			return proof !== undefined && findElapsed(proof, now()) < listFreshness;
 		},
 		findPeer,
@@ -109,9 +109,9 @@
 		self: own.name,
 		incarnation: own.incarnation,
 		bound: profile.rateBound,
-		findLimits: () => findDirectory()?.directory.limits ?? new Map(),
+		findLimits: () => findConfiguration()?.configuration.limits ?? new Map(),
 		findPeer,
-		findFleetConfirmedAt: () => findProof('fleet'),
+		findFleetConfirmedAt: () => findConfirmedAt('fleet'),
 		store,
 		now,
 		log,
@@ -125,14 +125,14 @@
 		findPeer,
 		findCount: findGateways,
 		isRoomy(group) {
-			const directory = findDirectory()?.directory;
-			return findConnectionLimit(directory?.connectionCaps.get(group) ?? 0, findGateways()) >= (directory?.limits.size ?? Number.POSITIVE_INFINITY);
+			const configuration = findConfiguration()?.configuration;
+			return findConnectionLimit(configuration?.connectionLimits.get(group) ?? 0, findGateways()) >= (configuration?.limits.size ?? Number.POSITIVE_INFINITY);
 		},
 		now: () => now().steady,
 	});
 
 	const updateGroups = () => {
-		for (const [name, cap] of findDirectory()?.directory.connectionCaps ?? []) {
+		for (const [name, cap] of findConfiguration()?.configuration.connectionLimits ?? []) {
 			const group = groups.get(name) ?? createSessionGroup(name, {
 				zone: profile.zone,
 				openLink: options.openLink,
@@ -140,7 +140,7 @@
 				now,
 				log,
 				findWorkspace,
-				isReading: () => reader.isReading(),
+				isReading: () => reader.isStoreReader(),
 			});
 			groups.set(name, group);
 			group.updateInstances(listInstances().filter(entry => entry.group === name), findConnectionLimit(cap, findGateways()));
@@ -148,19 +148,19 @@
 				group.setRegistered();
 			}
 
-			const proof = findProof('fleet');
+			const proof = findConfirmedAt('fleet');
 			if (proof !== undefined) {
 				group.updateRow(findFleet()?.groups.get(name), proof);
 			}
 		}
 	};
 
-	const takeTable = (table: StoreTable, newer: KnownTable) => {
-		knowledge.takeTable(table, newer);
+	const takeTable = (table: StoreTable, newer: CachedTable) => {
+		knowledge.updateTable(table, newer);
 		updateGroups();
 	};
 
-	const reader = createTableReader({
+	const reader = createTableSync({
 		self: own.name,
 		zone: own.zone,
 		store,
@@ -189,8 +189,8 @@
 
 	const timer = setInterval(tick, tickInterval);
 
-	const findCallerAccess = (caller: Caller) => findAccess(findDirectory(), {
-		...caller, revocationLimit: profile.revocationLimit, newsLimit: profile.configurationLimit, now: now(),
+	const findCallerAccess = (caller: Caller) => findAccess(findConfiguration(), {
+		...caller, revocationLimitMs: profile.revocationLimit, configurationLimitMs: profile.configurationLimit, now: now(),
 	});
 
 	const gateway = createGateway({
@@ -201,7 +201,7 @@
 	const context: SessionContext = {
 		now,
 		findAccess: findCallerAccess,
-		transactionIdle: () => findDirectory()?.directory.transactionIdle ?? 0,
+		transactionIdle: () => findConfiguration()?.configuration.transactionIdleLimit ?? 0,
 		findGroup: name => groups.get(name),
 		takeOperation: rates.takeOperation,
 		onAnswered: options.onAnswered,
@@ -214,7 +214,7 @@
 
 	return {
 		openSession: registry.openSession,
-		isReady: () => !isStopping && findDirectory() !== undefined && listInstances().length > 0 && control.isRegistered(),
+		isReady: () => !isStopping && findConfiguration() !== undefined && listInstances().length > 0 && control.isRegistered(),
 		peer: {
 			readTables: reader.readTables,
 			claimRates: rates.claimRates,
--- a/packages/sessions/peer-table.ts
+++ b/packages/sessions/table-update.ts
@@ -3,7 +3,7 @@
 import type {TableMark} from './table-mark.ts';
 
 /** A table as another host knows it. */
-export type PeerTable = {
+export type TableUpdate = {
 	readonly table: StoreTable;
 	/** Version of the store as of which the rows are known. */
 	readonly version: number;
