--- a/packages/sessions/apply-grant.ts
+++ b/packages/sessions/apply-grant.ts
@@ -2,13 +2,13 @@
 import type {ShareState} from './share-state.ts';
 
 type Grant = {
-	/** Operations a second. */
+	/** Operations per second. */
 	readonly rate: number;
-	/** Operations that may run at once. */
+	/** Operations that may run immediately, in addition to the rate. */
 	readonly units: number;
-	/** Milliseconds for which it holds from when it was asked for. */
-	readonly span: number;
-	readonly askedAt: Instant;
+	/** Lifetime in milliseconds, counted from `requestedAt`. */
+	readonly spanMs: number;
+	readonly requestedAt: Instant;
 	/** Steady milliseconds. */
 	readonly now: number;
 };
@@ -16,17 +16,17 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Applies a grant of the home to a share.
+ * Applies a grant from the rate allocator to a host's share.
  *
- * The first grant of a process also counts for the time since the process began, in which the host let nothing run:
- * so callers who waited for a restart find some operations at once.
+ * The first grant after a process start also covers the time since the start, during which the host admitted no
+ * operation. Callers that waited for the restart can therefore run some operations immediately.
  */
 export function applyGrant(share: ShareState, {
-	rate, units, span, askedAt, now,
+	rate, units, spanMs, requestedAt, now,
 }: Grant): ShareState {
 	const isFirst = share.spanMs === 0;
-	const missed = isFirst ? rate * Math.max(0, now - share.refilledAt) / millisecondsPerSecond : 0;
+	const startupTokens = isFirst ? rate * Math.max(0, now - share.refilledAt) / millisecondsPerSecond : 0;
 	return {
-		...share, rate, spanMs: span, requestedAt: askedAt, tokens: share.tokens + missed + units, refilledAt: isFirst ? now : share.refilledAt,
+		...share, rate, spanMs, requestedAt, tokens: share.tokens + startupTokens + units, refilledAt: isFirst ? now : share.refilledAt,
 	};
 }
--- a/packages/sessions/assign-rates.test.ts
+++ b/packages/sessions/assign-rates.test.ts
@@ -17,7 +17,7 @@
 };
 
 const claim = (home: RateAllocatorState, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
-	const {home: next, grants} = assignRates(home, {
+	const {state: next, grants} = assignRates(home, {
 		host,
 		claims: [{
 			workspace: 'upper', demand, held, heldFor: 1000, needed,
@@ -26,14 +26,14 @@
 		bound,
 		registered: hosts,
 		span: 3000,
-		unknownSpan: 3300,
+		handoverMs: 3300,
 		now,
 	});
 	return {home: next, rate: grants.get('upper')?.rate ?? 0, units: grants.get('upper')?.units ?? 0};
 };
 
-/** Plays callers of one workspace who come to many hosts at random, and counts what runs and what is refused. */
-function playSparseFleet({rate, hostCount, seed, perSecond}: {readonly rate: number; readonly hostCount: number; readonly seed: number; readonly perSecond: number}) {
+/** Simulates callers of one workspace that reach hosts at random, and returns when operations ran and how many were refused. */
+function simulateSparseFleet({rate, hostCount, seed, perSecond}: {readonly rate: number; readonly hostCount: number; readonly seed: number; readonly perSecond: number}) {
 	const workspaceLimits = new Map([['upper', {rate, burst: rate}]]);
 	const registered = Array.from({length: hostCount}, (_, index) => `host-${index}`);
 	const shares = new Map<string, ShareState>();
@@ -41,7 +41,7 @@
 	let refused = 0;
 	let home: RateAllocatorState = {...empty, startedAt: -15_000};
 	let random = seed;
-	const draw = () => {
+	const nextRandom = () => {
 		random = ((random * 1_103_515_245) + 12_345) % 2_147_483_648;
 		return random / 2_147_483_648;
 	};
@@ -67,17 +67,17 @@
 			bound,
 			registered,
 			span: 2800,
-			unknownSpan: 2800,
+			handoverMs: 2800,
 			now,
 		});
-		({home} = assigned);
+		({state: home} = assigned);
 		shares.set(host, applyGrant(share, {
-			...assigned.grants.get('upper') ?? {rate: 0, units: 0}, span: 2500, askedAt: at, now,
+			...assigned.grants.get('upper') ?? {rate: 0, units: 0}, spanMs: 2500, requestedAt: at, now,
 		}));
 	};
 
-	for (let now = 0; now < 14_000; now -= 1000 * Math.log(1 - draw()) / perSecond) {
-		const host = registered[Math.floor(draw() * hostCount)] ?? '';
+	for (let now = 0; now < 14_000; now -= 1000 * Math.log(1 - nextRandom()) / perSecond) {
+		const host = registered[Math.floor(nextRandom() * hostCount)] ?? '';
 		let isTaken = take(host, now, true);
 		if (!isTaken) {
 			ask(host, now);
@@ -95,7 +95,7 @@
 }
 
 describe('assignRates', () => {
-	it('gives the first callers a little of the rate once all hosts have claimed', () => {
+	it('assigns an equal part to hosts without demand once all hosts have claimed', () => {
 		let home = empty;
 		for (const host of hosts) {
 			({home} = claim(home, {host, demand: 0, now: 10}));
@@ -104,7 +104,7 @@
 		expect(claim(home, {host: 'a1', demand: 0, now: 20}).rate).to.equal(2.5);
 	});
 
-	it('gives callers who wait what no host holds', () => {
+	it('grants waiting callers operations from the unassigned rate', () => {
 		let home = empty;
 		for (const host of hosts) {
 			({home} = claim(home, {host, demand: 5, now: 10}));
@@ -116,7 +116,7 @@
 		}).units).to.equal(2);
 	});
 
-	it('moves shares to where a flood comes in', () => {
+	it('moves shares to the host with the highest demand', () => {
 		let home = empty;
 		let rate = 0;
 		for (const now of [10, 700, 1400]) {
@@ -132,7 +132,7 @@
 		expect(rate).to.be.above(70);
 	});
 
-	it('gives no more than is held while hosts of an earlier home are unknown', () => {
+	it('grants no more than a host holds while shares of an earlier allocator may be in use', () => {
 		expect(claim(empty, {
 			host: 'a1', demand: 50, held: 12, needed: 2, now: 10,
 		})).to.include({rate: 12, units: 0});
@@ -142,20 +142,20 @@
 	});
 
 	for (const {rate, hostCount} of [{rate: 5, hostCount: 89}, {rate: 12, hostCount: 9}, {rate: 24, hostCount: 9}, {rate: 46, hostCount: 30}, {rate: 137, hostCount: 89}]) {
-		it(`refuses next to nobody who comes to ${hostCount} hosts at random, within a rate of ${rate}`, () => {
-			const plays = Array.from({length: 12}, (_, seed) => playSparseFleet({
+		it(`refuses at most 0.1 % of callers that reach ${hostCount} hosts at random, below a rate of ${rate}`, () => {
+			const runs = Array.from({length: 12}, (_, seed) => simulateSparseFleet({
 				rate, hostCount, seed: 7919 * (seed + 1), perSecond: rate / 1.6,
 			}));
-			const refused = plays.reduce((sum, play) => sum + play.refused, 0);
-			const asked = plays.reduce((sum, play) => sum + play.refused + play.taken.length, 0);
+			const refused = runs.reduce((sum, run) => sum + run.refused, 0);
+			const asked = runs.reduce((sum, run) => sum + run.refused + run.taken.length, 0);
 			expect(refused / asked).to.be.at.most(0.001);
 		});
 	}
 
-	it('keeps every window within the bound when many hosts are flooded', () => {
-		const flood = fc.record({rate: fc.integer({min: 5, max: 60}), hostCount: fc.integer({min: 5, max: 90}), seed: fc.integer({min: 1, max: 1e6})});
-		fc.assert(fc.property(flood, ({rate, hostCount, seed}) => {
-			const {taken} = playSparseFleet({
+	it('keeps every window within the bound when many hosts are overloaded', () => {
+		const overload = fc.record({rate: fc.integer({min: 5, max: 60}), hostCount: fc.integer({min: 5, max: 90}), seed: fc.integer({min: 1, max: 1e6})});
+		fc.assert(fc.property(overload, ({rate, hostCount, seed}) => {
+			const {taken} = simulateSparseFleet({
 				rate, hostCount, seed, perSecond: rate * 6,
 			});
 			const allowed = (((rate * 5) + rate) * 1.1) + 20;
@@ -165,7 +165,7 @@
 		}), {numRuns: 25});
 	});
 
-	it('never lets the shares that hold at one moment exceed the rate, whatever answers are lost', () => {
+	it('never lets the sum of unexpired shares exceed the rate, whichever answers are lost', () => {
 		const step = fc.record({
 			host: fc.constantFrom(...hosts), demand: fc.integer({min: 0, max: 500}), isLost: fc.boolean(), pause: fc.integer({min: 0, max: 900}),
 		});
--- a/packages/sessions/assign-rates.ts
+++ b/packages/sessions/assign-rates.ts
@@ -15,16 +15,16 @@
 	readonly bound: RateBound;
 	/** Names of the hosts that are registered. */
 	readonly registered: readonly string[];
-	/** Milliseconds for which shares hold. */
+	/** Lifetime of granted shares, in milliseconds. */
 	readonly span: number;
-	/** Milliseconds after which nothing of an earlier home holds any more. */
-	readonly unknownSpan: number;
+	/** Milliseconds after which all shares that an earlier allocator granted have expired. */
+	readonly handoverMs: number;
 	/** Steady milliseconds. */
 	readonly now: number;
 };
 
 type Assigned = {
-	readonly home: RateAllocatorState;
+	readonly state: RateAllocatorState;
 	/** By workspace. */
 	readonly grants: ReadonlyMap<string, RateGrant>;
 };
@@ -33,34 +33,34 @@
 
 const millisecondsPerSecond = 1000;
 
-/** How much more than its demand a host gets while there is enough for all. */
-const headroom = 1.25;
+/** Factor by which a share may exceed the host's demand while the rate suffices for all hosts. */
+const demandHeadroom = 1.25;
 
-/** Share of the rate that goes to hosts without regard to their demand, so that the first callers find some. */
-const evenPart = 0.1;
+/** Fraction of the rate that is divided equally among hosts, so that a host without recent demand can serve its first callers. */
+const evenFraction = 0.1;
 
-/** Share of the rate that the home keeps at the least, for hosts that run short. */
-const keptPart = 0.05;
+/** Minimum fraction of the rate that stays in the allocator's pool, for hosts whose share is used up. */
+const reservedFraction = 0.05;
 
-/** Milliseconds after which the demand that a host told counts no more. */
-const demandMemory = 5000;
+/** Milliseconds after which the demand that a host reported is ignored. */
+const demandTimeoutMs = 5000;
 
-/** Operations at most that a host gets at once. */
-const unitsLimit = 8;
+/** Maximum number of operations that one claim gets from the pool. */
+const maxPooledUnits = 8;
 
 /**
- * Assigns shares of the workspaces' rates to a host, by its demand and that of the others, and gives it operations
- * of the home's pool when callers wait.
+ * Assigns shares of the workspaces' rates to the host that sent the claims, in proportion to its demand and that of
+ * the other hosts, and grants it operations from the allocator's pool for callers that are waiting.
  *
- * The shares that hold at one moment never sum up to more than the rate, and the pool is filled by the rest only.
- * What is still held under an earlier home is known once all hosts have claimed; until then a host gets no more
- * than it holds.
+ * The sum of the unexpired shares never exceeds the rate, and the pool is refilled only from the unassigned remainder
+ * and the burst budget. After a change of allocator, the shares that an earlier one granted are known once every
+ * registered host has claimed or `handoverMs` has passed; until then a host gets no more than it holds.
  */
-export function assignRates(home: RateAllocatorState, options: Options): Assigned {
-	const {host, claims, limits, registered, unknownSpan, now} = options;
-	const isAllKnown = now - home.startedAt > unknownSpan || registered.every(name => name === host || home.hosts.has(name));
-	const holdings = new Map(home.hosts.get(host));
-	const pools = new Map(home.pools);
+export function assignRates(state: RateAllocatorState, options: Options): Assigned {
+	const {host, claims, limits, registered, handoverMs, now} = options;
+	const isAllKnown = now - state.startedAt > handoverMs || registered.every(name => name === host || state.hosts.has(name));
+	const holdings = new Map(state.hosts.get(host));
+	const pools = new Map(state.pools);
 	const grants = new Map<string, RateGrant>();
 	for (const claim of claims) {
 		const {workspace} = claim;
@@ -69,16 +69,16 @@
 			continue;
 		}
 
-		const others = listOthers(home, workspace, host);
+		const others = listOthers(state, workspace, host);
 		const taken = others.reduce((sum, holding) => sum + (holding.expiresAt > now ? holding.rate : 0), 0);
 		const target = findTarget(limit.rate, {claim, others, options});
 		const rate = Math.min(target, Math.max(0, limit.rate - taken), isAllKnown ? limit.rate : claim.held);
-		// The answer may be lost, and then the host goes on with what it holds.
+		// If the answer is lost, the host keeps using the share it already holds.
 		const held = Math.max(rate, claim.held);
 		holdings.set(workspace, {
 			rate: held, expiresAt: now + options.span, demand: claim.demand, claimedAt: now,
 		});
-		const {pool, units} = takePooled(pools.get(workspace) ?? {units: 0, refilledAt: home.startedAt}, {
+		const {pool, units} = takePooled(pools.get(workspace) ?? {units: 0, refilledAt: state.startedAt}, {
 			claim, limit, free: isAllKnown ? Math.max(0, limit.rate - taken - held) : 0, options,
 		});
 		pools.set(workspace, pool);
@@ -86,8 +86,8 @@
 	}
 
 	return {
-		home: {
-			...home, pools, hosts: new Map(home.hosts).set(host, holdings), lastClaimAt: new Map(home.lastClaimAt).set(host, now),
+		state: {
+			...state, pools, hosts: new Map(state.hosts).set(host, holdings), lastClaimAt: new Map(state.lastClaimAt).set(host, now),
 		},
 		grants,
 	};
@@ -100,7 +100,7 @@
 		.filter(holding => holding !== undefined);
 }
 
-/** Finds a host's share: some more than its demand, or its part of what there is. */
+/** Finds the rate to grant a host: its demand plus headroom, scaled down when the total demand exceeds the rate. */
 function findTarget(limit: number, {claim, others, options}: {readonly claim: RateClaim; readonly others: readonly Holding[]; readonly options: Options}): number {
 	const {registered, now} = options;
 	const hostCount = registered.length;
@@ -108,32 +108,32 @@
 		return 0;
 	}
 
-	// Where hosts without demand would be served singly, none of them gets an even part.
-	const even = isAllocatedOnDemand({limit, hostCount, demand: 0}) ? 0 : evenPart * limit / Math.max(1, hostCount);
-	const demands = others.map(({claimedAt, demand}) => now - claimedAt < demandMemory ? demand : 0);
-	const total = demands.reduce((sum, demand) => sum + demand, claim.demand) * headroom;
-	const most = (1 - evenPart - keptPart) * limit;
-	return even + (claim.demand * headroom * Math.min(1, most / Math.max(total, 1e-9)));
+	// If hosts without demand are allocated on demand, none of them gets an equal part.
+	const even = isAllocatedOnDemand({limit, hostCount, demand: 0}) ? 0 : evenFraction * limit / Math.max(1, hostCount);
+	const demands = others.map(({claimedAt, demand}) => now - claimedAt < demandTimeoutMs ? demand : 0);
+	const total = demands.reduce((sum, demand) => sum + demand, claim.demand) * demandHeadroom;
+	const assignable = (1 - evenFraction - reservedFraction) * limit;
+	return even + (claim.demand * demandHeadroom * Math.min(1, assignable / Math.max(total, 1e-9)));
 }
 
 type Pooled = {
 	readonly claim: RateClaim;
 	readonly limit: WorkspaceLimits;
-	/** Operations a second that no host holds. */
+	/** Operations per second that are not assigned to any host. */
 	readonly free: number;
 	readonly options: Options;
 };
 
-/** Fills the home's pool with what no host holds and a part of the spare operations, and takes operations for callers who wait. */
+/** Refills the allocator's pool from the unassigned rate and a fraction of the burst budget, and takes operations for waiting callers. */
 function takePooled(bucket: TokenBucket, {claim, limit, free, options}: Pooled) {
-	const spare = findBurstBudget(limit, options.bound);
-	const spareRate = burstBudgetFractions.poolRefill * spare * millisecondsPerSecond / options.bound.window;
-	// What hosts could save up for shares that they do not hold is saved up here.
-	const savedPart = burstBudgetFractions.poolCapacity + (burstBudgetFractions.bucketByShare * free / Math.max(limit.rate, 1e-9));
-	const refill = {rate: free + spareRate, burst: savedPart * spare, now: options.now};
+	const burstBudget = findBurstBudget(limit, options.bound);
+	const budgetRate = burstBudgetFractions.poolRefill * burstBudget * millisecondsPerSecond / options.bound.window;
+	// Bucket capacity that belongs to unassigned shares is added to the pool.
+	const capacityFraction = burstBudgetFractions.poolCapacity + (burstBudgetFractions.bucketByShare * free / Math.max(limit.rate, 1e-9));
+	const refill = {rate: free + budgetRate, burst: capacityFraction * burstBudget, now: options.now};
 	let {bucket: pool} = takeUnits(bucket, {cost: 0, ...refill});
 	let units = 0;
-	while (units < Math.min(claim.needed, unitsLimit)) {
+	while (units < Math.min(claim.needed, maxPooledUnits)) {
 		const taken = takeUnits(pool, {cost: 1, ...refill});
 		if (!taken.isTaken) {
 			break;
--- a/packages/sessions/burst-budget-fractions.ts
+++ b/packages/sessions/burst-budget-fractions.ts
@@ -1,16 +1,16 @@
 /**
- * How the operations that a workspace may have in a window beyond its steady rate are divided. The rest is kept for
- * clocks and counts that differ between hosts.
+ * Fractions into which a workspace's burst budget (see `findBurstBudget`) is divided. The remainder is left unused, to
+ * absorb differences between the hosts' clocks and counts.
  */
 export const burstBudgetFractions = {
-	/** Saved up by all hosts together, evenly. */
+	/** Bucket capacity that is divided equally among all hosts. */
 	bucketPerHost: 0.125,
-	/** Saved up by the hosts that hold shares, as far as they do. */
+	/** Bucket capacity that is divided among hosts in proportion to their shares. */
 	bucketByShare: 0.125,
-	/** Kept by the home, for hosts that run short. */
+	/** Capacity of the rate allocator's pool, for hosts whose share is used up. */
 	poolCapacity: 0.1,
-	/** Added to what the home keeps, over a window. */
+	/** Refill of the rate allocator's pool over one window. */
 	poolRefill: 0.4,
-	/** Used by hosts that have no share. */
+	/** Rate that all hosts may use without a granted share, over one window. */
 	unallocated: 0.2,
 } as const;
--- a/packages/sessions/create-local-shares.test.ts
+++ b/packages/sessions/create-local-shares.test.ts
@@ -7,16 +7,16 @@
 const limits = {rate: 20, burst: 20};
 const bound = {window: 5000, overage: 0.1, slack: 20};
 
-/** Milliseconds between two looks at what is to be claimed, as the host has them. */
-const claimInterval = 800;
+/** Interval in milliseconds at which a host lists its claims. */
+const claimIntervalMs = 800;
 
-/** Lets callers ask at a steady rate for some seconds, and counts the claims of the host. */
+/** Simulates callers at a steady rate for 20 s, and counts the claims that the host sends. */
 function countClaims({hostCount, demand, granted}: {readonly hostCount: number; readonly demand: number; readonly granted: number}): number {
 	let at: Instant = {steady: 0, wall: 0};
-	const book = createLocalShares({
+	const shares = createLocalShares({
 		partition: findRatePartition(workspace),
 		bound,
-		// So many workspaces that none is claimed before its callers ask.
+		// With this many workspaces, no share is claimed before the first request.
 		findLimits: () => new Map([[workspace, limits], ...Array.from({length: 200}, (_, index) => [`w${index}`, limits] as const)]),
 		countHosts: () => hostCount,
 		now: () => at,
@@ -26,14 +26,14 @@
 	const pause = 1000 / demand;
 	for (let elapsed = 0; elapsed < 20_000; elapsed += pause) {
 		at = {steady: elapsed, wall: elapsed};
-		book.takeOperation(workspace, limits, true);
-		if (elapsed - claimedAt >= claimInterval) {
+		shares.takeOperation(workspace, limits, true);
+		if (elapsed - claimedAt >= claimIntervalMs) {
 			claimedAt = elapsed;
-			const claims = book.listClaims();
+			const claims = shares.listClaims();
 			claimed += claims.length;
-			book.recordClaimed(claims);
+			shares.recordClaimed(claims);
 			if (claims.length > 0) {
-				book.applyGrants(new Map([[workspace, {rate: granted, units: 0}]]), {span: 2500, askedAt: at});
+				shares.applyGrants(new Map([[workspace, {rate: granted, units: 0}]]), {spanMs: 2500, requestedAt: at});
 			}
 		}
 	}
@@ -44,13 +44,13 @@
 describe('createLocalShares, with steady callers for 20 s', () => {
 	const cases = [
 		{
-			name: 'renews a share before it lapses', hostCount: 3, demand: 4, granted: 5, least: 7, most: 25,
+			name: 'renews a share before it expires', hostCount: 3, demand: 4, granted: 5, least: 7, most: 25,
 		},
 		{
-			name: 'claims nothing over and over where it asks for each operation', hostCount: 200, demand: 0.5, granted: 0, least: 1, most: 3,
+			name: 'does not repeat claims for a workspace that is allocated on demand', hostCount: 200, demand: 0.5, granted: 0, least: 1, most: 3,
 		},
 		{
-			name: 'renews the share of much demand among many hosts', hostCount: 200, demand: 8, granted: 10, least: 7, most: 25,
+			name: 'renews the share of a host with high demand among many hosts', hostCount: 200, demand: 8, granted: 10, least: 7, most: 25,
 		},
 	];
 	for (const {name, least, most, ...options} of cases) {
--- a/packages/sessions/create-local-shares.ts
+++ b/packages/sessions/create-local-shares.ts
@@ -13,7 +13,7 @@
 import type {WorkspaceLimits} from './workspace-limits.ts';
 
 type Options = {
-	/** Partition of the workspaces whose shares these are. */
+	/** Partition of the workspaces that these shares belong to. */
 	readonly partition: number;
 	readonly bound: RateBound;
 	readonly findLimits: () => ReadonlyMap<string, WorkspaceLimits>;
@@ -21,60 +21,60 @@
 	readonly now: () => Instant;
 };
 
-/** A host's shares of the rates of one partition. */
+/** A host's shares of the workspaces' rates in one partition. */
 type LocalShares = {
-	/** Takes an operation of a workspace; else says after how many milliseconds to come back. */
+	/** Takes an operation from a workspace's share, or returns the milliseconds after which to retry. */
 	readonly takeOperation: (workspace: string, limits: WorkspaceLimits, isFirst: boolean) => {readonly isTaken: boolean; readonly retryAfter: number};
 	readonly findShare: (workspace: string) => ShareState | undefined;
-	/** Claims that tell the home something new, or keep shares from lapsing. */
+	/** Claims that report changed demand or renew shares before they expire. */
 	readonly listClaims: () => readonly RateClaim[];
-	/** The claim of a workspace, with operations that callers wait for. */
+	/** Claim of one workspace; `needed` is the number of operations that callers are waiting for. */
 	readonly createClaim: (workspace: string, needed: number) => RateClaim | undefined;
-	/** Takes note of what the home was told. */
+	/** Records the demand that the rate allocator has received. */
 	readonly recordClaimed: (claims: readonly RateClaim[]) => void;
-	/** Forgets what the home was told, since there is another one. */
+	/** Discards the recorded demand, because a new rate allocator has not received it. */
 	readonly clearClaimed: () => void;
-	readonly applyGrants: (grants: ReadonlyMap<string, RateGrant>, held: {readonly span: number; readonly askedAt: Instant}) => void;
+	readonly applyGrants: (grants: ReadonlyMap<string, RateGrant>, held: {readonly spanMs: number; readonly requestedAt: Instant}) => void;
 };
 
-/** Milliseconds that a share still holds when it is claimed again, though nothing has changed. */
-const renewalSpan = 1300;
+/** Remaining lifetime in milliseconds below which a share is renewed, even if the demand has not changed. */
+const renewalMs = 1300;
 
-/** Share by which demand must have changed to be told. */
-const demandChange = 0.2;
+/** Fraction by which the demand must have changed to be reported. */
+const minRelativeChange = 0.2;
 
-/** Operations a second by which it must have changed besides. */
-const leastChange = 0.5;
+/** Operations per second by which the demand must have changed in addition to `minRelativeChange`. */
+const minAbsoluteChange = 0.5;
 
-/** Claims of all hosts at most, one for each workspace and host, for which shares are held before callers ask. */
-const expectedLimit = 200;
+/** Maximum number of claims over all hosts, one per workspace and host, up to which hosts claim shares before the first request. */
+const maxPreclaims = 200;
 
-/** Operations a second; a share with less demand is forgotten once it has lapsed. */
-const leastDemand = 0.05;
+/** Demand in operations per second below which an expired share is deleted. */
+const minDemand = 0.05;
 
-/** Creates what keeps a host's shares of the rates of one partition. */
+/** Creates the table of a host's shares of the workspaces' rates in one partition. */
 export function createLocalShares({partition, bound, findLimits, countHosts, now}: Options): LocalShares {
 	const shares = new Map<string, ShareState>();
-	/** Demand that the home was told last, by workspace. */
-	const claimedDemand = new Map<string, number>();
+	/** Demand that the rate allocator last received, by workspace. */
+	const reportedDemand = new Map<string, number>();
 
-	/** Whether shares are held before the first callers come: only where that takes few claims. */
-	const isExpecting = () => findLimits().size * countHosts() <= expectedLimit;
+	/** Whether shares are claimed before the first request; only done while the number of claims is small. */
+	const isPreclaiming = () => findLimits().size * countHosts() <= maxPreclaims;
 
-	const addExpected = () => {
-		for (const workspace of isExpecting() ? findLimits().keys() : []) {
+	const addPreclaimed = () => {
+		for (const workspace of isPreclaiming() ? findLimits().keys() : []) {
 			if (!shares.has(workspace) && findRatePartition(workspace) === partition) {
 				shares.set(workspace, createShareState(now()));
 			}
 		}
 	};
 
-	/** Forgets shares that nobody asks for any more; what they had saved up is lost. */
+	/** Deletes expired shares without demand; their remaining tokens are lost. */
 	const dropUnused = () => {
-		for (const [workspace, share] of isExpecting() ? [] : shares) {
-			if (findDemand(share, now()) < leastDemand && findHeldRate(share, now()).left === 0) {
+		for (const [workspace, share] of isPreclaiming() ? [] : shares) {
+			if (findDemand(share, now()) < minDemand && findHeldRate(share, now()).left === 0) {
 				shares.delete(workspace);
-				claimedDemand.delete(workspace);
+				reportedDemand.delete(workspace);
 			}
 		}
 	};
@@ -87,8 +87,8 @@
 		};
 	};
 
-	/** Whether the home grants a share that must be renewed; else the host asks it for each operation. */
-	const holdsShare = ({workspace, demand}: RateClaim) => {
+	/** Whether the allocator grants this workspace a share that needs renewal; otherwise the host requests each operation. */
+	const hasRenewableShare = ({workspace, demand}: RateClaim) => {
 		const limit = findLimits().get(workspace)?.rate ?? 0;
 		return !isAllocatedOnDemand({limit, hostCount: countHosts(), demand});
 	};
@@ -103,28 +103,28 @@
 		},
 		findShare: workspace => shares.get(workspace),
 		listClaims() {
-			addExpected();
+			addPreclaimed();
 			dropUnused();
 			return [...shares.keys()]
 				.map(workspace => createClaim(workspace, 0))
 				.filter(claim => claim !== undefined)
-				.filter(claim => isWorthClaiming(claim, {told: claimedDemand.get(claim.workspace), isHeld: holdsShare(claim)}));
+				.filter(claim => isClaimDue(claim, {reported: reportedDemand.get(claim.workspace), isRenewable: hasRenewableShare(claim)}));
 		},
 		createClaim,
 		recordClaimed(claims) {
 			for (const {workspace, demand} of claims) {
-				claimedDemand.set(workspace, demand);
+				reportedDemand.set(workspace, demand);
 			}
 		},
 		clearClaimed() {
-			claimedDemand.clear();
+			reportedDemand.clear();
 		},
-		applyGrants(grants, {span, askedAt}) {
+		applyGrants(grants, {spanMs, requestedAt}) {
 			for (const [workspace, grant] of grants) {
 				const share = shares.get(workspace);
 				if (share !== undefined) {
 					shares.set(workspace, applyGrant(share, {
-						...grant, span, askedAt, now: now().steady,
+						...grant, spanMs, requestedAt, now: now().steady,
 					}));
 				}
 			}
@@ -132,7 +132,7 @@
 	};
 }
 
-/** Whether a claim tells the home something new, or keeps a share from lapsing. */
-function isWorthClaiming({demand, heldFor}: RateClaim, {told, isHeld}: {readonly told: number | undefined; readonly isHeld: boolean}): boolean {
-	return told === undefined || (isHeld && heldFor < renewalSpan) || Math.abs(demand - told) > (demandChange * told) + leastChange;
+/** Whether a claim reports changed demand or renews a share before it expires. */
+function isClaimDue({demand, heldFor}: RateClaim, {reported, isRenewable}: {readonly reported: number | undefined; readonly isRenewable: boolean}): boolean {
+	return reported === undefined || (isRenewable && heldFor < renewalMs) || Math.abs(demand - reported) > (minRelativeChange * reported) + minAbsoluteChange;
 }
--- a/packages/sessions/create-partition-limiter.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -22,13 +22,13 @@
 
 type Options = {
 	readonly self: string;
-	/** Partition of the workspaces whose shares these are. */
+	/** Partition of the workspaces whose rates are limited. */
 	readonly partition: number;
 	readonly incarnation: number;
 	readonly bound: RateBound;
 	readonly findLimits: () => ReadonlyMap<string, WorkspaceLimits>;
 	readonly findPeer: (host: string) => FleetPeer | undefined;
-	/** Moment as of which the fleet's rows are known. */
+	/** Moment as of which the store confirmed the fleet's rows. */
 	readonly findFleetConfirmedAt: () => Instant | undefined;
 	readonly store: Store;
 	readonly now: () => Instant;
@@ -36,78 +36,83 @@
 };
 
 /** Milliseconds between two claims of a host. */
-const claimInterval = 800;
+const claimIntervalMs = 800;
 
-/** Milliseconds between two claims while callers are being refused. */
-const urgentInterval = 200;
+/** Milliseconds between two claims while operations are refused. */
+const urgentClaimIntervalMs = 200;
 
-/** Milliseconds without an answer of the home after which another host takes its place. */
-const homeSilence = 1000;
+/** Milliseconds without an answer from the rate allocator after which another host takes its lease. */
+const allocatorTimeoutMs = 1000;
 
-/** Milliseconds by which each host waits longer than the one before it to take the home's place. */
-const placeDelay = 300;
+/** Milliseconds that each candidate waits longer than the one ranked before it, so that they do not compete for the lease. */
+const rankDelayMs = 300;
 
-/** Place after which hosts wait no longer before they take a lost home's place. */
-const lastPlace = 4;
+/** Rank from which on all candidates wait equally long. */
+const maxRank = 4;
 
-/** Milliseconds for which the fleet's rows count as recent enough to take the home's place. */
-const proofLimit = 1500;
+/** Maximum staleness in milliseconds of the fleet's rows at which a host may take the lease. */
+const maxFleetAgeMs = 1500;
 
-/** Milliseconds that callers wait for the home's answer. */
-const unitsTimeout = 120;
+/** Milliseconds that callers wait for the rate allocator's answer. */
+const tokenRequestTimeoutMs = 120;
 
-/** Milliseconds between two claims at the least that show the home that a host lives. */
-const lifeInterval = 3000;
+/** Maximum milliseconds between two claims to the allocator of partition 0, which uses claims as heartbeats of the hosts. */
+const heartbeatIntervalMs = 3000;
 
-/** Creates a host's shares of the rates of one partition of the workspaces. */
+/**
+ * Creates the rate limiter for the workspaces of one partition.
+ *
+ * Operations are taken from the host's own shares, which it claims from the partition's rate allocator. When a share is
+ * used up, the host requests single operations from the allocator's pool.
+ */
 export function createPartitionLimiter(options: Options): RateLimiter {
 	const {self, partition, incarnation, now, log} = options;
 	let fleet: FleetRows | undefined;
-	/** When the fleet's rows were first known, in steady milliseconds. */
-	let knownSince: number | undefined;
+	/** Steady milliseconds at which the fleet's rows were first known. */
+	let fleetKnownSince: number | undefined;
 	let claimedAt = Number.NEGATIVE_INFINITY;
-	/** Epoch of the home that answered last. */
+	/** Epoch of the rate allocator that answered last. */
 	let answeredEpoch = 0;
-	/** Since when the home has not answered claims, in steady milliseconds. */
+	/** Steady milliseconds of the first claim that the rate allocator has not answered; undefined after an answer. */
 	let unansweredSince: number | undefined;
-	/** When a claim was last answered, in steady milliseconds. */
-	let shownAt = Number.NEGATIVE_INFINITY;
+	/** Steady milliseconds of the last answered claim. */
+	let lastAnswerAt = Number.NEGATIVE_INFINITY;
 	let isBusy = false;
 	let hasRefused = false;
 
-	const book = createLocalShares({...options, countHosts: () => Math.max(1, fleet?.hosts.size ?? 1)});
-	const home = createRateAllocator({...options, findFleet: () => fleet});
+	const shares = createLocalShares({...options, countHosts: () => Math.max(1, fleet?.hosts.size ?? 1)});
+	const allocator = createRateAllocator({...options, findFleet: () => fleet});
 	const findRow = () => fleet?.rateAllocators.get(partition);
 
-	/** Asks the home for shares; false when it does not answer. */
-	const ask = async (row: RateAllocatorRow, claims: readonly RateClaim[], timeout?: number): Promise<boolean> => {
-		const askedAt = now();
+	/** Sends claims to the rate allocator and applies its grants; returns false if it does not answer in time or has lost the lease. */
+	const sendClaims = async (row: RateAllocatorRow, claims: readonly RateClaim[], timeout?: number): Promise<boolean> => {
+		const requestedAt = now();
 		const message = {
 			host: self, incarnation, partition, epoch: row.epoch, claims,
 		};
-		const answer = home.isAllocator() ? home.claimRates(message) : options.findPeer(row.holder)?.claimRates(message);
+		const answer = allocator.isAllocator() ? allocator.claimRates(message) : options.findPeer(row.holder)?.claimRates(message);
 		const granted = await (timeout === undefined ? answer : Promise.race([answer, sleep(timeout, undefined)]));
 		if (granted === undefined || granted === 'notAllocator') {
-			unansweredSince ??= askedAt.steady;
+			unansweredSince ??= requestedAt.steady;
 			return false;
 		}
 
 		unansweredSince = undefined;
 		answeredEpoch = row.epoch;
-		book.applyGrants(granted.grants, {span: granted.span, askedAt});
+		shares.applyGrants(granted.grants, {spanMs: granted.span, requestedAt});
 		return true;
 	};
 
-	const units = createTokenQueue({
-		hasHome: () => findRow() !== undefined,
-		async ask(workspace, needed) {
+	const tokens = createTokenQueue({
+		hasAllocator: () => findRow() !== undefined,
+		async requestTokens(workspace, needed) {
 			const row = findRow();
-			const claim = book.createClaim(workspace, needed);
+			const claim = shares.createClaim(workspace, needed);
 			if (row !== undefined && claim !== undefined) {
-				await ask(row, [claim], unitsTimeout);
+				await sendClaims(row, [claim], tokenRequestTimeoutMs);
 			}
 
-			return (book.findShare(workspace)?.tokens ?? 0) >= 1;
+			return (shares.findShare(workspace)?.tokens ?? 0) >= 1;
 		},
 		now,
 	});
@@ -115,29 +120,29 @@
 	const claim = async (row: RateAllocatorRow) => {
 		claimedAt = now().steady;
 		if (answeredEpoch !== row.epoch) {
-			book.clearClaimed();
+			shares.clearClaimed();
 		}
 
-		const claims = book.listClaims();
-		const mustShowLife = partition === 0 && now().steady - shownAt > lifeInterval;
-		if (claims.length === 0 && answeredEpoch === row.epoch && !mustShowLife) {
+		const claims = shares.listClaims();
+		const isHeartbeatDue = partition === 0 && now().steady - lastAnswerAt > heartbeatIntervalMs;
+		if (claims.length === 0 && answeredEpoch === row.epoch && !isHeartbeatDue) {
 			return;
 		}
 
-		if (await ask(row, claims)) {
-			shownAt = now().steady;
+		if (await sendClaims(row, claims)) {
+			lastAnswerAt = now().steady;
 			hasRefused = false;
-			book.recordClaimed(claims);
+			shares.recordClaimed(claims);
 		}
 	};
 
-	const takePlace = async (row: Versioned<RateAllocatorRow> | undefined) => {
+	const takeLease = async (row: Versioned<RateAllocatorRow> | undefined) => {
 		unansweredSince = undefined;
 		await takeRateAllocatorLease(row, {...options, hosts: [...fleet?.hosts.keys() ?? []]});
 	};
 
-	/** Runs one task at a time. */
-	const runAlone = async (task: Promise<void>) => {
+	/** Runs a task and sets `isBusy` meanwhile, so that no other one starts. */
+	const runExclusive = async (task: Promise<void>) => {
 		isBusy = true;
 		try {
 			await task;
@@ -146,22 +151,22 @@
 		}
 	};
 
-	/** Whether it is this host's turn to take a place that is empty or whose holder is silent. */
-	const isVacant = (row: RateAllocatorRow | undefined, rows: FleetRows): boolean => {
-		const proof = options.findFleetConfirmedAt();
-		const since = row === undefined ? knownSince : unansweredSince;
-		if (since === undefined || proof === undefined || findElapsed(proof, now()) >= proofLimit || row?.holder === self) {
+	/** Whether this host, by its rank, is due to take a lease that nobody holds or whose holder does not answer. */
+	const isLeaseDue = (row: RateAllocatorRow | undefined, rows: FleetRows): boolean => {
+		const confirmedAt = options.findFleetConfirmedAt();
+		const since = row === undefined ? fleetKnownSince : unansweredSince;
+		if (since === undefined || confirmedAt === undefined || findElapsed(confirmedAt, now()) >= maxFleetAgeMs || row?.holder === self) {
 			return false;
 		}
 
-		const place = Math.min(lastPlace, findRateAllocatorRank({
+		const rank = Math.min(maxRank, findRateAllocatorRank({
 			self, partition, hosts: [...rows.hosts.keys()], lost: row?.holder,
 		}));
-		return now().steady - since > (row === undefined ? place * firstDelay : homeSilence + (place * placeDelay));
+		return now().steady - since > (row === undefined ? rank * firstDelay : allocatorTimeoutMs + (rank * rankDelayMs));
 	};
 
 	const logRefusal = (workspace: string, limits: WorkspaceLimits) => {
-		const share = book.findShare(workspace);
+		const share = shares.findShare(workspace);
 		log.debug({
 			workspace,
 			...limits,
@@ -169,8 +174,8 @@
 			saved: share?.tokens,
 			demand: share && findDemand(share, now()),
 			home: findRow()?.holder,
-			isPoolEmpty: units.isPoolEmpty(workspace),
-		}, 'rates: An operation is refused.');
+			isPoolEmpty: tokens.isPoolEmpty(workspace),
+		}, 'rates: The host refused an operation because no tokens are left.');
 	};
 
 	return {
@@ -180,13 +185,13 @@
 				return {isTaken: true, retryAfter: 0};
 			}
 
-			const first = book.takeOperation(workspace, limits, true);
+			const first = shares.takeOperation(workspace, limits, true);
 			if (first.isTaken) {
 				return first;
 			}
 
-			await units.wait(workspace);
-			const second = book.takeOperation(workspace, limits, false);
+			await tokens.wait(workspace);
+			const second = shares.takeOperation(workspace, limits, false);
 			if (!second.isTaken) {
 				hasRefused = true;
 				logRefusal(workspace, limits);
@@ -194,19 +199,19 @@
 
 			return second;
 		},
-		claimRates: home.claimRates,
-		listSilentHosts: home.listSilentHosts,
+		claimRates: allocator.claimRates,
+		listSilentHosts: allocator.listSilentHosts,
 		updateFleet(newer) {
 			const row = newer.rateAllocators.get(partition);
 			if (row?.epoch !== findRow()?.epoch) {
-				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The store names the host that shares out the rates.');
+				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The lease of the rate allocator has another holder or epoch.');
 				unansweredSince = undefined;
-				// A new home gives little until it has heard of all hosts.
+				// A new allocator grants little until all hosts have claimed, so this host claims immediately.
 				claimedAt = Number.NEGATIVE_INFINITY;
 			}
 
 			fleet = newer;
-			knownSince ??= now().steady;
+			fleetKnownSince ??= now().steady;
 		},
 		step() {
 			if (fleet === undefined || options.findFleetConfirmedAt() === undefined || isBusy || !fleet.hosts.has(self)) {
@@ -215,10 +220,10 @@
 
 			const row = findRow();
 			const isRestarted = row?.holder === self && row.incarnation !== incarnation;
-			if (isRestarted || isVacant(row, fleet)) {
-				void runAlone(takePlace(row));
-			} else if (row !== undefined && now().steady - claimedAt > (hasRefused ? urgentInterval : claimInterval)) {
-				void runAlone(claim(row));
+			if (isRestarted || isLeaseDue(row, fleet)) {
+				void runExclusive(takeLease(row));
+			} else if (row !== undefined && now().steady - claimedAt > (hasRefused ? urgentClaimIntervalMs : claimIntervalMs)) {
+				void runExclusive(claim(row));
 			}
 		},
 	};
--- a/packages/sessions/create-rate-allocator.ts
+++ b/packages/sessions/create-rate-allocator.ts
@@ -9,88 +9,88 @@
 
 type Options = {
 	readonly self: string;
-	/** Partition of the workspaces whose rates are shared out; see `findRatePartition`. */
+	/** Partition of the workspaces whose rates are allocated; see `findRatePartition`. */
 	readonly partition: number;
 	readonly incarnation: number;
 	readonly bound: RateBound;
 	readonly findLimits: () => ReadonlyMap<string, WorkspaceLimits>;
 	readonly findFleet: () => FleetRows | undefined;
-	/** Moment as of which the fleet's rows are known. */
+	/** Moment as of which the store confirmed the fleet's rows. */
 	readonly findFleetConfirmedAt: () => Instant | undefined;
 	readonly now: () => Instant;
 };
 
-/** What a host does as the home of the rates. */
+/** Rate allocator of one partition, active only while this process holds the lease. */
 type RateAllocator = {
-	/** Whether the store names this process as the home. */
+	/** Whether the store names this process as the lease holder. */
 	readonly isAllocator: () => boolean;
-	/** Answers the claims of a host if this one is the home. */
+	/** Answers the claims of a host if this process holds the lease, otherwise `notAllocator`. */
 	readonly claimRates: FleetPeer['claimRates'];
-	/** Registered hosts that have not claimed for long, if this host is the home. */
+	/** Registered hosts that have sent no claim for `hostSilenceMs`; empty unless this process holds the lease. */
 	readonly listSilentHosts: () => readonly string[];
 };
 
-/** Milliseconds for which shares hold: long enough to outlast a cut, short enough that a lost host's share comes back. */
-const shareSpan = 2500;
+/** Lifetime of shares in milliseconds: long enough to outlast a short network partition, short enough to reclaim a lost host's share soon. */
+const shareSpanMs = 2500;
 
-/** Milliseconds by which the home takes a share to last longer than its holder does. */
-const spanMargin = 300;
+/** Milliseconds that the allocator adds to a share's lifetime, so that a share never expires here before it does at its host. */
+const expiryMarginMs = 300;
 
 /** Milliseconds without a claim after which a host counts as silent. */
-const hostSilence = 10_000;
+const hostSilenceMs = 10_000;
 
-/** Creates the part of a host that shares out the rates when the store names it as the home. */
+/** Creates the part of a host that divides the rates of one partition among all hosts while it holds the allocator's lease. */
 export function createRateAllocator(options: Options): RateAllocator {
 	const {
 		self, partition, incarnation, bound, findFleet, now,
 	} = options;
-	let home: RateAllocatorState | undefined;
+	let state: RateAllocatorState | undefined;
 
 	const findRow = () => findFleet()?.rateAllocators.get(partition);
-	const isHome = () => findRow()?.holder === self && findRow()?.incarnation === incarnation;
+	const isAllocator = () => findRow()?.holder === self && findRow()?.incarnation === incarnation;
 
-	const hasHomeLease = () => {
-		const proof = options.findFleetConfirmedAt();
-		return isHome() && proof !== undefined && findLeaseLeft(proof, now()) > 0;
+	const hasLease = () => {
+		const confirmedAt = options.findFleetConfirmedAt();
+		return isAllocator() && confirmedAt !== undefined && findLeaseLeft(confirmedAt, now()) > 0;
 	};
 
 	const claimRates: RateAllocator['claimRates'] = async ({host, epoch, claims}) => {
 		const row = findRow();
-		if (row === undefined || !hasHomeLease() || epoch !== row.epoch) {
+		if (row === undefined || !hasLease() || epoch !== row.epoch) {
 			return 'notAllocator';
 		}
 
-		if (home?.epoch !== row.epoch) {
-			home = {
+		if (state?.epoch !== row.epoch) {
+			state = {
 				epoch: row.epoch, startedAt: now().steady, hosts: new Map(), lastClaimAt: new Map(), pools: new Map(),
 			};
 		}
 
-		const assigned = assignRates(home, {
+		const assigned = assignRates(state, {
 			host,
 			claims,
 			limits: options.findLimits(),
 			bound,
 			registered: [...findFleet()?.hosts.keys() ?? []],
-			span: shareSpan + spanMargin,
-			unknownSpan: shareSpan + spanMargin,
+			span: shareSpanMs + expiryMarginMs,
+			handoverMs: shareSpanMs + expiryMarginMs,
 			now: now().steady,
 		});
-		({home} = assigned);
-		return {grants: assigned.grants, span: shareSpan};
+		({state} = assigned);
+		return {grants: assigned.grants, span: shareSpanMs};
 	};
 
 	return {
-		isAllocator: isHome,
+		isAllocator,
 		claimRates,
 		listSilentHosts() {
 			const at = now().steady;
-			const begun = home;
-			if (begun === undefined || !hasHomeLease() || at - begun.startedAt < hostSilence) {
+			const current = state;
+			if (current === undefined || !hasLease() || at - current.startedAt < hostSilenceMs) {
 				return [];
 			}
 
-			return [...findFleet()?.hosts.keys() ?? []].filter(host => host !== self && at - (begun.lastClaimAt.get(host) ?? begun.startedAt) > hostSilence);
+			return [...findFleet()?.hosts.keys() ?? []].filter(host => host !== self && at - (current.lastClaimAt.get(host) ?? current.startedAt) > hostSilenceMs);
 		},
 	};
 }
--- a/packages/sessions/create-rate-limiter.ts
+++ b/packages/sessions/create-rate-limiter.ts
@@ -3,22 +3,22 @@
 import {ratePartitionCount} from './rate-partition-count.ts';
 import type {RateLimiter} from './rate-limiter.ts';
 
-/** Creates a host's shares of all rates: one set for each partition of the workspaces, so that no host shares out all of them. */
+/** Creates the rate limiter of a host: one limiter per partition of the workspaces, so that no single host allocates all rates. */
 export function createRateLimiter(options: Omit<Parameters<typeof createPartitionLimiter>[0], 'partition'>): RateLimiter {
-	const partitions = Array.from({length: ratePartitionCount}, (_, partition) => createPartitionLimiter({...options, partition}));
+	const limiters = Array.from({length: ratePartitionCount}, (_, partition) => createPartitionLimiter({...options, partition}));
 	return {
-		takeOperation: async workspace => partitions[findRatePartition(workspace)]!.takeOperation(workspace),
-		claimRates: async claims => partitions[claims.partition]?.claimRates(claims) ?? 'notAllocator',
-		// Every host shows life to the home of the first partition.
-		listSilentHosts: () => partitions[0]!.listSilentHosts(),
+		takeOperation: async workspace => limiters[findRatePartition(workspace)]!.takeOperation(workspace),
+		claimRates: async claims => limiters[claims.partition]?.claimRates(claims) ?? 'notAllocator',
+		// Every host sends claims to the rate allocator of partition 0 as a heartbeat.
+		listSilentHosts: () => limiters[0]!.listSilentHosts(),
 		updateFleet(fleet) {
-			for (const shares of partitions) {
-				shares.updateFleet(fleet);
+			for (const limiter of limiters) {
+				limiter.updateFleet(fleet);
 			}
 		},
 		step() {
-			for (const shares of partitions) {
-				shares.step();
+			for (const limiter of limiters) {
+				limiter.step();
 			}
 		},
 	};
--- a/packages/sessions/create-token-queue.ts
+++ b/packages/sessions/create-token-queue.ts
@@ -1,66 +1,66 @@
 import type {Instant} from './instant.ts';
 
 type Options = {
-	/** Whether there is a home that may be asked. */
-	readonly hasHome: () => boolean;
-	/** Asks the home for operations of a workspace; true when some came. */
-	readonly ask: (workspace: string, needed: number) => Promise<boolean>;
+	/** Whether a rate allocator is known. */
+	readonly hasAllocator: () => boolean;
+	/** Requests operations of a workspace from the rate allocator; resolves to whether an operation may run now. */
+	readonly requestTokens: (workspace: string, needed: number) => Promise<boolean>;
 	readonly now: () => Instant;
 };
 
-/** Callers who wait for an operation that the home gives at once. */
+/** Queue of callers that wait for an operation from the rate allocator's pool. */
 type TokenQueue = {
-	/** Waits until the home was asked on behalf of a caller. */
+	/** Waits until the rate allocator has answered a request that includes the caller, or returns immediately while none may be sent. */
 	readonly wait: (workspace: string) => Promise<void>;
-	/** Whether the home had nothing left a moment ago. */
+	/** Whether the rate allocator's pool was empty at the last request, less than `emptyPoolBackoffMs` ago. */
 	readonly isPoolEmpty: (workspace: string) => boolean;
 };
 
-/** Milliseconds for which the home is not asked again when it had nothing left. */
-const poolPause = 60;
+/** Milliseconds to wait before the next request after one that found the pool empty. */
+const emptyPoolBackoffMs = 60;
 
 /**
- * Creates the queue of callers for whom the home is asked for an operation.
+ * Creates the queue of callers for whom operations are requested from the rate allocator.
  *
- * One question is under way at a time for a workspace; it asks for exactly as many operations as callers wait, so that
- * none is left over that a host would save up beyond the bound.
+ * At most one request per workspace is pending. It asks for exactly as many operations as there are waiting callers,
+ * because a host could accumulate surplus operations beyond the rate bound.
  */
-export function createTokenQueue({hasHome, ask, now}: Options): TokenQueue {
-	/** Questions that are under way, by workspace. */
-	const asking = new Map<string, Promise<unknown>>();
-	/** Callers who wait for the next question, by workspace. */
+export function createTokenQueue({hasAllocator, requestTokens, now}: Options): TokenQueue {
+	/** Pending requests, by workspace. */
+	const pending = new Map<string, Promise<unknown>>();
+	/** Number of callers that wait for the next request, by workspace. */
 	const waiting = new Map<string, number>();
-	/** Until when the home is not asked, in steady milliseconds, by workspace. */
-	const emptyUntil = new Map<string, number>();
+	/** End of the backoff after an empty pool, in steady milliseconds, by workspace. */
+	const backoffUntil = new Map<string, number>();
 
-	const isPoolEmpty = (workspace: string) => (emptyUntil.get(workspace) ?? 0) > now().steady;
+	const isPoolEmpty = (workspace: string) => (backoffUntil.get(workspace) ?? 0) > now().steady;
 
 	return {
 		isPoolEmpty,
 		async wait(workspace) {
-			if (!hasHome() || isPoolEmpty(workspace)) {
+			if (!hasAllocator() || isPoolEmpty(workspace)) {
 				return;
 			}
 
 			waiting.set(workspace, (waiting.get(workspace) ?? 0) + 1);
-			await asking.get(workspace);
-			if (asking.has(workspace)) {
-				await asking.get(workspace);
+			await pending.get(workspace);
+			if (pending.has(workspace)) {
+				await pending.get(workspace);
 				return;
 			}
 
 			const needed = isPoolEmpty(workspace) ? 0 : waiting.get(workspace) ?? 0;
 			waiting.delete(workspace);
-			if (needed === 0 || !hasHome()) {
+			if (needed === 0 || !hasAllocator()) {
 				return;
 			}
 
-			const asked = ask(workspace, needed);
-			asking.set(workspace, asked);
-			const hasSome = await asked;
-			asking.delete(workspace);
-			if (!hasSome) {
-				emptyUntil.set(workspace, now().steady + poolPause);
+			const request = requestTokens(workspace, needed);
+			pending.set(workspace, request);
+			const hasTokens = await request;
+			pending.delete(workspace);
+			if (!hasTokens) {
+				backoffUntil.set(workspace, now().steady + emptyPoolBackoffMs);
 			}
 		},
 	};
--- a/packages/sessions/is-allocated-on-demand.ts
+++ b/packages/sessions/is-allocated-on-demand.ts
@@ -1,20 +1,21 @@
 type Options = {
-	/** Operations a second that the workspace may run over all hosts. */
+	/** Operations per second that the workspace may run over all hosts. */
 	readonly limit: number;
-	/** Hosts that are registered. */
+	/** Number of registered hosts. */
 	readonly hostCount: number;
-	/** Operations a second that callers ask for at the host. */
+	/** Operations per second that callers request at the host. */
 	readonly demand: number;
 };
 
-/** Operations a second and host; where an even share is less, hosts with little demand ask for each operation instead. */
-const sparseShare = 5;
+/** Operations per second and host. Below this equal share, hosts with less demand than this request each operation instead. */
+const minShare = 5;
 
 /**
- * Whether a host gets no share of a workspace's rate, but asks the home for each operation.
+ * Whether a host gets no share of a workspace's rate and requests each operation from the rate allocator instead.
  *
- * With many hosts and little demand at each, shares would lie idle nearly everywhere; the home's pool then serves all.
+ * With many hosts and little demand at each of them, most of every share would stay unused; the allocator's pool
+ * serves all hosts in that case.
  */
 export function isAllocatedOnDemand({limit, hostCount, demand}: Options): boolean {
-	return limit < sparseShare * hostCount && demand < sparseShare;
+	return limit < minShare * hostCount && demand < minShare;
 }
--- a/packages/sessions/rate-allocator-row.ts
+++ b/packages/sessions/rate-allocator-row.ts
@@ -1,8 +1,8 @@
-/** Which host shares out the rates; one at a time over the fleet. */
+/** Stored lease of the rate allocator of one partition; one host of the fleet holds the lease at a time. */
 export type RateAllocatorRow = {
 	readonly holder: string;
-	/** Start of the holder's process. */
+	/** Incarnation of the holder's process, set when the process starts. */
 	readonly incarnation: number;
-	/** Counts the homes. */
+	/** Increases by one each time a process takes the lease. */
 	readonly epoch: number;
 };
--- a/packages/sessions/rate-allocator-state.ts
+++ b/packages/sessions/rate-allocator-state.ts
@@ -1,27 +1,27 @@
 import type {TokenBucket} from '@sapphirefall/decisions';
 
-/** What the home of the rates knows of the hosts. */
+/** State of the rate allocator of one partition: the shares and demand of the hosts. */
 export type RateAllocatorState = {
-	/** Counts the homes; a host takes shares of one home at a time. */
+	/** Epoch of the allocator's lease; a host uses the shares of one epoch at a time. */
 	readonly epoch: number;
-	/** Steady milliseconds when this home began. */
+	/** Steady milliseconds at which this allocator handled its first claim of the epoch. */
 	readonly startedAt: number;
-	/** Steady milliseconds of each host's last claim. */
+	/** Steady milliseconds of the last claim, by host. */
 	readonly lastClaimAt: ReadonlyMap<string, number>;
-	/** Operations that the home has left over, by workspace. */
+	/** Pools of unassigned operations, by workspace. */
 	readonly pools: ReadonlyMap<string, TokenBucket>;
-	/** By host; those that have not claimed since the home began are absent. */
+	/** Holdings by host and workspace. Hosts that have not claimed in this epoch are absent. */
 	readonly hosts: ReadonlyMap<string, ReadonlyMap<string, Holding>>;
 };
 
-/** What a host holds and asks for of a workspace's rate. */
+/** Share and demand of one host for one workspace. */
 type Holding = {
-	/** Operations a second that it was granted. */
+	/** Granted operations per second. */
 	readonly rate: number;
-	/** Steady milliseconds until which it may use them. */
+	/** Steady milliseconds at which the share expires. */
 	readonly expiresAt: number;
-	/** Operations a second that its callers ask for. */
+	/** Operations per second that callers request at the host. */
 	readonly demand: number;
-	/** Steady milliseconds when it said so. */
+	/** Steady milliseconds at which the host reported the demand. */
 	readonly claimedAt: number;
 };
--- a/packages/sessions/rate-bound.ts
+++ b/packages/sessions/rate-bound.ts
@@ -1,9 +1,9 @@
-/** How far operations of a workspace may exceed its rate and burst over all hosts together. */
+/** Upper bound on the operations of a workspace in any window, relative to its rate and burst, over all hosts. */
 export type RateBound = {
-	/** Milliseconds of the span in which operations are counted. */
+	/** Length of the window in milliseconds. */
 	readonly window: number;
-	/** Share by which rate and burst may be exceeded. */
+	/** Fraction by which rate and burst may be exceeded. */
 	readonly overage: number;
-	/** Operations beyond that. */
+	/** Operations allowed in addition to `overage`. */
 	readonly slack: number;
 };
--- a/packages/sessions/rate-claim.ts
+++ b/packages/sessions/rate-claim.ts
@@ -1,12 +1,12 @@
-/** What a host asks of the home of the rates for a workspace. */
+/** Request of a host to the rate allocator for a share of a workspace's rate. */
 export type RateClaim = {
 	readonly workspace: string;
-	/** Operations a second that callers ask for at the host. */
+	/** Operations per second that callers request at the host. */
 	readonly demand: number;
-	/** Operations a second that the host holds now. */
+	/** Operations per second of the share that the host holds now. */
 	readonly held: number;
-	/** Milliseconds for which it holds them. */
+	/** Remaining lifetime of that share, in milliseconds. */
 	readonly heldFor: number;
-	/** Operations that callers wait for now. */
+	/** Operations that callers are waiting for now. */
 	readonly needed: number;
 };
--- a/packages/sessions/rate-grant.ts
+++ b/packages/sessions/rate-grant.ts
@@ -1,7 +1,7 @@
-/** What the home of the rates grants a host of a workspace's rate. */
+/** Share of a workspace's rate that the rate allocator grants a host. */
 export type RateGrant = {
-	/** Operations a second. */
+	/** Operations per second. */
 	readonly rate: number;
-	/** Operations that may run at once, beyond the rate. */
+	/** Operations that may run immediately, in addition to the rate. */
 	readonly units: number;
 };
--- a/packages/sessions/rate-limiter.ts
+++ b/packages/sessions/rate-limiter.ts
@@ -1,16 +1,16 @@
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
 
-/** A host's shares of the rates, and the home of the rates if this host is it. */
+/** Rate limiter of one host: its shares of the workspaces' rates, and the rate allocators whose leases it holds. */
 export type RateLimiter = {
-	/** Takes an operation; else says after how many milliseconds to come back. */
+	/** Takes an operation from a workspace's rate, or returns the milliseconds after which to retry. */
 	readonly takeOperation: (workspace: string) => Promise<{readonly isTaken: boolean; readonly retryAfter: number}>;
-	/** Answers the claims of a host if this one is the home. */
+	/** Answers the claims of a host if this host is the rate allocator, otherwise `notAllocator`. */
 	readonly claimRates: FleetPeer['claimRates'];
-	/** Registered hosts that have not claimed for long, if this host is the home. */
+	/** Registered hosts that have sent no claim for 10 s; empty unless this host is the rate allocator of partition 0. */
 	readonly listSilentHosts: () => readonly string[];
-	/** Takes in the fleet's rows, which name the home. */
+	/** Applies the fleet's rows, which name the rate allocators. */
 	readonly updateFleet: (fleet: FleetRows) => void;
-	/** Claims shares if it is time to. */
+	/** Sends claims, or takes a vacant allocator lease, if either is due. */
 	readonly step: () => void;
 };
--- a/packages/sessions/rate-partition-count.ts
+++ b/packages/sessions/rate-partition-count.ts
@@ -1,2 +1,2 @@
-/** Partitions of the workspaces. All hosts must agree on it, so it never changes while a fleet runs. */
+/** Number of partitions of the workspaces. All hosts must use the same value, so it must not change while a fleet runs. */
 export const ratePartitionCount = 8;
--- a/packages/sessions/share-state.ts
+++ b/packages/sessions/share-state.ts
@@ -2,18 +2,18 @@
 
 /** A host's share of a workspace's rate. */
 export type ShareState = {
-	/** Operations a second that the home granted. */
+	/** Operations per second that the rate allocator granted. */
 	readonly rate: number;
-	/** When the share was asked for. */
+	/** When the host requested the share. */
 	readonly requestedAt: Instant;
-	/** Milliseconds for which it holds from then. */
+	/** Lifetime in milliseconds, counted from `requestedAt`; 0 before the first grant. */
 	readonly spanMs: number;
-	/** Operations that may run now. */
+	/** Operations that may run now; may be fractional. */
 	readonly tokens: number;
-	/** Steady milliseconds when the level was last brought up to date. */
+	/** Steady milliseconds at which `tokens` was last updated. */
 	readonly refilledAt: number;
-	/** Operations a second that callers ask for, smoothed. */
+	/** Operations per second that callers request, exponentially smoothed. */
 	readonly demand: number;
-	/** Steady milliseconds when the demand was last brought up to date. */
+	/** Steady milliseconds at which `demand` was last updated. */
 	readonly demandAt: number;
 };
--- a/packages/sessions/take-operation.test.ts
+++ b/packages/sessions/take-operation.test.ts
@@ -7,11 +7,11 @@
 const at = (steady: number) => ({steady, wall: steady});
 
 describe('takeOperation', () => {
-	it('keeps every window within the bound when one workspace floods all hosts', () => {
-		const flood = fc.record({
+	it('keeps every window within the bound when one workspace overloads all hosts', () => {
+		const overload = fc.record({
 			rate: fc.integer({min: 5, max: 300}), hostCount: fc.integer({min: 1, max: 12}), weights: fc.array(fc.integer({min: 1, max: 20}), {minLength: 12, maxLength: 12}),
 		});
-		fc.assert(fc.property(flood, ({rate, hostCount, weights}) => {
+		fc.assert(fc.property(overload, ({rate, hostCount, weights}) => {
 			const limits = {rate, burst: rate};
 			const used = weights.slice(0, hostCount);
 			const sum = used.reduce((total, weight) => total + weight, 0);
@@ -38,13 +38,13 @@
 		}), {numRuns: 30});
 	});
 
-	it('grants nothing at once to a process that has just started', () => {
+	it('grants no operation to a process that has just started', () => {
 		expect(takeOperation(undefined, {
 			limits: {rate: 100, burst: 100}, bound, hostCount: 9, now: at(0), isFirst: true,
 		}).isTaken).to.equal(false);
 	});
 
-	it('says when to come back', () => {
+	it('returns when to retry', () => {
 		const {retryAfter} = takeOperation(undefined, {
 			limits: {rate: 100, burst: 100}, bound, hostCount: 9, now: at(0), isFirst: true,
 		});
--- a/packages/sessions/take-operation.ts
+++ b/packages/sessions/take-operation.ts
@@ -12,57 +12,57 @@
 type Options = {
 	readonly limits: WorkspaceLimits;
 	readonly bound: RateBound;
-	/** Hosts over which the rate is spread. */
+	/** Number of hosts that share the rate. */
 	readonly hostCount: number;
 	readonly now: Instant;
-	/** Whether the caller asks for the first time, and not again after the home was asked. */
+	/** Whether this is the caller's first attempt; a second one follows a request to the rate allocator and adds no demand. */
 	readonly isFirst: boolean;
 };
 
 type Taken = {
 	readonly share: ShareState;
 	readonly isTaken: boolean;
-	/** Milliseconds until an operation may run; 0 when it was taken. */
+	/** Milliseconds after which to retry; 0 if the operation was taken. */
 	readonly retryAfter: number;
 };
 
 const millisecondsPerSecond = 1000;
 
-/** Operations that the home gave at once, and that a full share keeps. */
-const unitsKept = 3;
+/** Maximum number of pooled operations that a share keeps in excess of its capacity. */
+const maxExcessTokens = 3;
 
-/** Milliseconds to wait at the least when nothing may run. */
-const leastRetry = 50;
+/** Minimum milliseconds after which a refused caller may retry. */
+const minRetryMs = 50;
 
-/** Milliseconds to wait at the most before asking again, since shares move. */
-const mostRetry = 2000;
+/** Maximum milliseconds after which a refused caller may retry; shares move between hosts, so longer estimates would be wrong. */
+const maxRetryMs = 2000;
 
 /**
  * Takes an operation from a host's share of a workspace's rate.
  *
- * All hosts together never run more in a window than the bound allows: granted shares sum up to the rate at the
- * most, and what hosts save up, and use without a grant, to less than the spare operations.
+ * All hosts together never run more operations in a window than the bound allows: the granted shares sum up to at
+ * most the rate, and the hosts' buckets and use without a grant sum up to less than the burst budget.
  */
 export function takeOperation(share: ShareState | undefined, options: Options): Taken {
 	const {
 		limits, bound, hostCount, now, isFirst,
 	} = options;
-	const old = share ?? createShareState(now);
-	const spare = findBurstBudget(limits, bound);
-	const held = findHeldRate(old, now).rate;
-	const unasked = burstBudgetFractions.unallocated * spare * millisecondsPerSecond / bound.window / hostCount;
-	const rate = held + unasked;
-	const capacity = spare * ((burstBudgetFractions.bucketPerHost / hostCount) + (burstBudgetFractions.bucketByShare * held / Math.max(limits.rate, 1e-9)));
-	const elapsed = Math.max(0, now.steady - old.refilledAt);
-	const ceiling = Math.max(capacity, Math.min(old.tokens, unitsKept));
-	const level = Math.min(ceiling, old.tokens + (elapsed * rate / millisecondsPerSecond));
-	const known = {...(isFirst ? addDemand(old, now) : old), tokens: level, refilledAt: now.steady};
-	if (level >= 1) {
-		return {share: {...known, tokens: level - 1}, isTaken: true, retryAfter: 0};
+	const previous = share ?? createShareState(now);
+	const burstBudget = findBurstBudget(limits, bound);
+	const held = findHeldRate(previous, now).rate;
+	const unallocatedRate = burstBudgetFractions.unallocated * burstBudget * millisecondsPerSecond / bound.window / hostCount;
+	const rate = held + unallocatedRate;
+	const capacity = burstBudget * ((burstBudgetFractions.bucketPerHost / hostCount) + (burstBudgetFractions.bucketByShare * held / Math.max(limits.rate, 1e-9)));
+	const elapsed = Math.max(0, now.steady - previous.refilledAt);
+	const maxTokens = Math.max(capacity, Math.min(previous.tokens, maxExcessTokens));
+	const tokens = Math.min(maxTokens, previous.tokens + (elapsed * rate / millisecondsPerSecond));
+	const updated = {...(isFirst ? addDemand(previous, now) : previous), tokens, refilledAt: now.steady};
+	if (tokens >= 1) {
+		return {share: {...updated, tokens: tokens - 1}, isTaken: true, retryAfter: 0};
 	}
 
-	const wait = (1 - level) * millisecondsPerSecond / rate;
-	return {share: known, isTaken: false, retryAfter: Math.max(leastRetry, Math.min(mostRetry, wait))};
+	const wait = (1 - tokens) * millisecondsPerSecond / rate;
+	return {share: updated, isTaken: false, retryAfter: Math.max(minRetryMs, Math.min(maxRetryMs, wait))};
 }
 
 function addDemand(share: ShareState, now: Instant): ShareState {
--- a/packages/sessions/take-rate-allocator-lease.ts
+++ b/packages/sessions/take-rate-allocator-lease.ts
@@ -9,7 +9,7 @@
 type Options = {
 	readonly self: string;
 	readonly incarnation: number;
-	/** Partition of the workspaces whose rates are to be shared out. */
+	/** Partition of the workspaces whose rates are to be allocated. */
 	readonly partition: number;
 	/** Names of the hosts that are registered. */
 	readonly hosts: readonly string[];
@@ -18,13 +18,18 @@
 	readonly log: SessionLog;
 };
 
-/** Hosts that are asked at most whether they can be reached. */
-const reachSample = 12;
+/** Maximum number of hosts whose reachability is checked. */
+const reachabilitySampleSize = 12;
 
-/** Takes the place of the home of the rates in the store, unless this host reaches too few others to be of use. */
+/**
+ * Takes the lease of a partition's rate allocator by writing the next epoch to the store.
+ *
+ * A host that would replace another one writes nothing if it reaches fewer than half of a sample of the other hosts,
+ * because most hosts could not send it claims then.
+ */
 export async function takeRateAllocatorLease(row: Versioned<RateAllocatorRow> | undefined, options: Options): Promise<void> {
 	const {self, incarnation, partition, store, log} = options;
-	if (row !== undefined && row.holder !== self && !await reachesMost(options)) {
+	if (row !== undefined && row.holder !== self && !await isReachingMost(options)) {
 		return;
 	}
 
@@ -36,14 +41,14 @@
 	});
 	log.info({
 		partition, previous: row?.holder, epoch: next.epoch, outcome: outcome.kind,
-	}, 'rates: This host offers to share out the rates.');
+	}, 'rates: This host tried to take the rate allocator\'s lease.');
 }
 
 /** Whether this host reaches at least half of a sample of the others. */
-async function reachesMost({
+async function isReachingMost({
 	self, incarnation, partition, hosts, findPeer,
 }: Options): Promise<boolean> {
-	const others = rankHosts(`reach/${self}`, hosts.filter(host => host !== self)).slice(0, reachSample);
+	const others = rankHosts(`reach/${self}`, hosts.filter(host => host !== self)).slice(0, reachabilitySampleSize);
 	const answers = await Promise.all(others.map(async host => findPeer(host)?.claimRates({
 		host: self, incarnation, partition, epoch: 0, claims: [],
 	})));
--- a/packages/sessions/workspace-limits.ts
+++ b/packages/sessions/workspace-limits.ts
@@ -1,7 +1,7 @@
-/** What a workspace may use over the whole fleet. */
+/** Rate limit of a workspace over the whole fleet, as a token bucket. */
 export type WorkspaceLimits = {
-	/** Operations a second. */
+	/** Operations per second. */
 	readonly rate: number;
-	/** Operations. */
+	/** Bucket capacity in operations. */
 	readonly burst: number;
 };
