--- a/packages/sessions/assign-rates.test.ts
+++ b/packages/sessions/assign-rates.test.ts
@@ -16,8 +16,8 @@
 	epoch: 1, startedAt: 0, hosts: new Map(), lastClaimAt: new Map(), pools: new Map(),
 };
 
-const claim = (home: RateAllocatorState, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
-	const {state: next, grants} = assignRates(home, {
+const claim = (state: RateAllocatorState, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
+	const {state: next, grants} = assignRates(state, {
 		host,
 		claims: [{
 			workspace: 'upper', demand, held, heldFor: 1000, needed,
@@ -25,11 +25,11 @@
 		limits,
 		bound,
 		registered: hosts,
-		span: 3000,
+		spanMs: 3000,
 		handoverMs: 3300,
 		now,
 	});
-	return {home: next, rate: grants.get('upper')?.rate ?? 0, units: grants.get('upper')?.units ?? 0};
+	return {state: next, rate: grants.get('upper')?.rate ?? 0, units: grants.get('upper')?.units ?? 0};
 };
 
 /** Simulates callers of one workspace that reach hosts at random, and returns when operations ran and how many were refused. */
@@ -39,7 +39,7 @@
 	const shares = new Map<string, ShareState>();
 	const taken: number[] = [];
 	let refused = 0;
-	let home: RateAllocatorState = {...empty, startedAt: -15_000};
+	let state: RateAllocatorState = {...empty, startedAt: -15_000};
 	let random = seed;
 	const nextRandom = () => {
 		random = ((random * 1_103_515_245) + 12_345) % 2_147_483_648;
@@ -58,7 +58,7 @@
 		const at = {steady: now, wall: now};
 		const share = shares.get(host) ?? createShareState(at);
 		const held = findHeldRate(share, at);
-		const assigned = assignRates(home, {
+		const assigned = assignRates(state, {
 			host,
 			claims: [{
 				workspace: 'upper', demand: findDemand(share, at), held: held.rate, heldFor: held.left, needed: 1,
@@ -66,11 +66,11 @@
 			limits: workspaceLimits,
 			bound,
 			registered,
-			span: 2800,
+			spanMs: 2800,
 			handoverMs: 2800,
 			now,
 		});
-		({state: home} = assigned);
+		({state} = assigned);
 		shares.set(host, applyGrant(share, {
 			...assigned.grants.get('upper') ?? {rate: 0, units: 0}, spanMs: 2500, requestedAt: at, now,
 		}));
@@ -96,35 +96,35 @@
 
 describe('assignRates', () => {
 	it('assigns an equal part to hosts without demand once all hosts have claimed', () => {
-		let home = empty;
+		let state = empty;
 		for (const host of hosts) {
-			({home} = claim(home, {host, demand: 0, now: 10}));
+			({state} = claim(state, {host, demand: 0, now: 10}));
 		}
 
-		expect(claim(home, {host: 'a1', demand: 0, now: 20}).rate).to.equal(2.5);
+		expect(claim(state, {host: 'a1', demand: 0, now: 20}).rate).to.equal(2.5);
 	});
 
 	it('grants waiting callers operations from the unassigned rate', () => {
-		let home = empty;
+		let state = empty;
 		for (const host of hosts) {
-			({home} = claim(home, {host, demand: 5, now: 10}));
+			({state} = claim(state, {host, demand: 5, now: 10}));
 		}
 
-		({home} = claim(home, {host: 'a1', demand: 5, now: 500}));
-		expect(claim(home, {
+		({state} = claim(state, {host: 'a1', demand: 5, now: 500}));
+		expect(claim(state, {
 			host: 'a1', demand: 5, needed: 2, now: 510,
 		}).units).to.equal(2);
 	});
 
 	it('moves shares to the host with the highest demand', () => {
-		let home = empty;
+		let state = empty;
 		let rate = 0;
 		for (const now of [10, 700, 1400]) {
 			for (const host of hosts) {
-				const claimed = claim(home, {
+				const claimed = claim(state, {
 					host, demand: host === 'a1' ? 300 : 5, held: 0, now,
 				});
-				({home} = claimed);
+				({state} = claimed);
 				rate = host === 'a1' ? claimed.rate : rate;
 			}
 		}
@@ -170,17 +170,17 @@
 			host: fc.constantFrom(...hosts), demand: fc.integer({min: 0, max: 500}), isLost: fc.boolean(), pause: fc.integer({min: 0, max: 900}),
 		});
 		fc.assert(fc.property(fc.array(step, {maxLength: 60}), steps => {
-			let home: RateAllocatorState = {...empty, startedAt: -10_000};
+			let state: RateAllocatorState = {...empty, startedAt: -10_000};
 			let now = 0;
 			const held = new Map<string, {readonly rate: number; readonly until: number}>();
 			for (const {host, demand, isLost, pause} of steps) {
 				now += pause;
 				const old = held.get(host);
 				const holds = old !== undefined && old.until > now ? old.rate : 0;
-				const claimed = claim(home, {
+				const claimed = claim(state, {
 					host, demand, held: holds, now,
 				});
-				({home} = claimed);
+				({state} = claimed);
 				if (!isLost) {
 					held.set(host, {rate: claimed.rate, until: now + 2700});
 				}
--- a/packages/sessions/assign-rates.ts
+++ b/packages/sessions/assign-rates.ts
@@ -16,7 +16,7 @@
 	/** Names of the hosts that are registered. */
 	readonly registered: readonly string[];
 	/** Lifetime of granted shares, in milliseconds. */
-	readonly span: number;
+	readonly spanMs: number;
 	/** Milliseconds after which all shares that an earlier allocator granted have expired. */
 	readonly handoverMs: number;
 	/** Steady milliseconds. */
@@ -76,7 +76,7 @@
 		// If the answer is lost, the host keeps using the share it already holds.
 		const held = Math.max(rate, claim.held);
 		holdings.set(workspace, {
-			rate: held, expiresAt: now + options.span, demand: claim.demand, claimedAt: now,
+			rate: held, expiresAt: now + options.spanMs, demand: claim.demand, claimedAt: now,
 		});
 		const {pool, units} = takePooled(pools.get(workspace) ?? {units: 0, refilledAt: state.startedAt}, {
 			claim, limit, free: isAllKnown ? Math.max(0, limit.rate - taken - held) : 0, options,
--- a/packages/sessions/create-rate-allocator.ts
+++ b/packages/sessions/create-rate-allocator.ts
@@ -72,7 +72,7 @@
 			limits: options.findLimits(),
 			bound,
 			registered: [...findFleet()?.hosts.keys() ?? []],
-			span: shareSpanMs + expiryMarginMs,
+			spanMs: shareSpanMs + expiryMarginMs,
 			handoverMs: shareSpanMs + expiryMarginMs,
 			now: now().steady,
 		});
--- a/packages/sessions/create-store-follower.ts
+++ b/packages/sessions/create-store-follower.ts
@@ -49,7 +49,7 @@
 					reader: self,
 					findWait: at => findAlignedWait({period: proofPeriod, most: maxFollowWaitsMs[table], now: at}),
 					now,
-					known: cache.findTable(table),
+					cached: cache.findTable(table),
 					onTable(update) {
 						cache.updateTable(table, update);
 					},
--- a/packages/sessions/create-table-sync.test.ts
+++ b/packages/sessions/create-table-sync.test.ts
@@ -71,7 +71,7 @@
 	const hosts = zones.flatMap(zone => Array.from({length: count}, (_, index) => ({
 		name: `${zone}${index}`, zone, address: '', incarnation: 1,
 	})));
-	const readers = new Map<string, TableSync>();
+	const tableSyncs = new Map<string, TableSync>();
 	const confirmed = new Map<string, Map<StoreTable, number>>();
 	const unreachable = new Set<string>();
 	/** Zone that cannot reach the others. */
@@ -80,7 +80,7 @@
 	for (const {name, zone} of hosts) {
 		const tables = new Map<StoreTable, number>();
 		confirmed.set(name, tables);
-		readers.set(name, createTableSync({
+		tableSyncs.set(name, createTableSync({
 			self: name,
 			zone,
 			isFirstStart: false,
@@ -88,7 +88,7 @@
 			listHosts: () => hosts,
 			findPeer: host => createPeer(async (asked, wait) => {
 				await sleep(1);
-				const answer = isReachable(name, host) ? readers.get(host)?.readTables(asked, wait) : undefined;
+				const answer = isReachable(name, host) ? tableSyncs.get(host)?.readTables(asked, wait) : undefined;
 				const first = await Promise.race([answer, sleep(callTimeoutMs + wait, undefined)]);
 				return isReachable(name, host) ? first : undefined;
 			}),
@@ -123,8 +123,8 @@
 			return maxAge;
 		},
 		stop() {
-			for (const reader of readers.values()) {
-				reader.stop();
+			for (const tableSync of tableSyncs.values()) {
+				tableSync.stop();
 			}
 		},
 	};
--- a/packages/sessions/create-table-sync.ts
+++ b/packages/sessions/create-table-sync.ts
@@ -61,7 +61,7 @@
 /** Milliseconds after which a store reader must have recent tables. A host that is asked for tables answers then with those it has. */
 const readTimeoutMs = 250;
 
-type Request = ReadonlyMap<StoreTable, AskedTable>;
+type TableRequest = ReadonlyMap<StoreTable, AskedTable>;
 
 const tables: readonly StoreTable[] = ['configuration', 'fleet', 'instances'];
 
@@ -88,10 +88,10 @@
 	/** Finds the steady milliseconds at which a store reader must have recent tables. */
 	const findReadDeadline = () => (follower.followedSince() ?? now().steady) + readTimeoutMs;
 
-	const hasNewRows = (asked: Request) => cache.listTables().some(([table, {mark}]) => !isSameMark(asked.get(table)?.mark, mark));
+	const hasNewRows = (asked: TableRequest) => cache.listTables().some(([table, {mark}]) => !isSameMark(asked.get(table)?.mark, mark));
 
 	/** Waits until there is something new for the requesting host, at most `wait` milliseconds; reads the store if the cached tables are stale. */
-	const waitForChanges = async (asked: Request, wait: number) => {
+	const waitForChanges = async (asked: TableRequest, wait: number) => {
 		const requestedAt = now().steady;
 		let deadline = requestedAt + wait;
 		while (!hasNewRows(asked)) {
@@ -124,14 +124,14 @@
 	const poll = async (source: string): Promise<boolean> => {
 		const sentAt = now();
 		const ages = cache.listAges();
-		const asked: Request = new Map(cache.listTables().map(([table, {mark}]) => [table, {mark: incompleteTables.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
+		const asked: TableRequest = new Map(cache.listTables().map(([table, {mark}]) => [table, {mark: incompleteTables.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
 		const wait = Math.max(pollWaitsMs.min, Math.min(pollWaitsMs.max, cache.findFreshRemaining(readThresholdsMs)));
 		const answer = await options.findPeer(source)?.readTables(asked, wait);
 		if (answer === undefined) {
 			return false;
 		}
 
-		// The other host received the request after `sentAt` and then waited for `waited` milliseconds before it answered.
+		// The other host received the request no earlier than `sentAt` and then waited for `waited` milliseconds before it answered.
 		const earliestAnswerAt = {steady: sentAt.steady + answer.waited, wall: sentAt.wall + answer.waited};
 		for (const update of answer.tables) {
 			const cached = cache.findTable(update.table);
--- a/packages/sessions/follow-table.ts
+++ b/packages/sessions/follow-table.ts
@@ -20,8 +20,8 @@
 	readonly findWait: (now: number) => number;
 	readonly now: () => Instant;
 	/** Cached table to continue from; undefined to read the whole table first. */
-	readonly known: CachedTable | undefined;
-	readonly onTable: (known: CachedTable) => void;
+	readonly cached: CachedTable | undefined;
+	readonly onTable: (cached: CachedTable) => void;
 	readonly log: SessionLog;
 	/** Stops following when aborted. */
 	readonly signal: AbortSignal;
@@ -33,7 +33,7 @@
  */
 const minCallIntervalsMs = {configuration: 200, fleet: 120, instances: 600} as const satisfies Record<StoreTable, number>;
 
-/** Retry backoff in milliseconds while the store does not answer: the delay after the first failure, and the maximum. */
+/** Linear backoff in milliseconds while the store does not answer: the delay after the first failure, and the maximum. */
 const retryDelaysMs = {first: 100, last: 400};
 
 /**
@@ -45,15 +45,15 @@
 	const {
 		store, table, reader, findWait, now, onTable, log, signal,
 	} = options;
-	let {known} = options;
-	let isComplete = known !== undefined;
+	let {cached} = options;
+	let isComplete = cached !== undefined;
 	let clock: StoreClock | undefined;
 	let failures = 0;
 	while (!signal.aborted) {
-		const outcome = known === undefined || !isComplete
+		const outcome = cached === undefined || !isComplete
 			? await store.read(table)
 			// Only a short call gives a usable reading of the store's clock. Without one, a long call confirms the rows only as of when it was sent.
-			: await store.follow(table, {after: known.version, wait: clock === undefined ? 0 : findWait(now().steady)});
+			: await store.follow(table, {after: cached.version, wait: clock === undefined ? 0 : findWait(now().steady)});
 		if (signal.aborted) {
 			return;
 		}
@@ -79,16 +79,16 @@
 		const {rows, version} = outcome.value;
 		const confirmation = findProof(clock, outcome.value);
 		({clock} = confirmation);
-		const merged = known !== undefined && isComplete && rows.length === 0 ? known.rows : applyRows(isComplete ? known?.rows : undefined, rows);
-		known = {
+		const merged = cached !== undefined && isComplete && rows.length === 0 ? cached.rows : applyRows(isComplete ? cached?.rows : undefined, rows);
+		cached = {
 			rows: merged,
 			version,
-			mark: merged === known?.rows ? known.mark : findTableMark(merged),
+			mark: merged === cached?.rows ? cached.mark : findTableMark(merged),
 			confirmedAt: confirmation.provenAt,
 			reader,
 		};
 		isComplete = true;
-		onTable(known);
+		onTable(cached);
 		await sleep(Math.max(0, minCallIntervalsMs[table] - findElapsed(outcome.value.sentAt, outcome.value.answeredAt)));
 	}
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-function applyRows(known: ReadonlyMap<string, StoreRow> | undefined, changed: readonly StoreRow[]): ReadonlyMap<string, StoreRow> {
-	const rows = new Map(known);
+function applyRows(cached: ReadonlyMap<string, StoreRow> | undefined, changed: readonly StoreRow[]): ReadonlyMap<string, StoreRow> {
+	const rows = new Map(cached);
 	for (const row of changed) {
 		if (row.value === undefined) {
 			rows.delete(row.key);
--- a/packages/sessions/store-row.ts
+++ b/packages/sessions/store-row.ts
@@ -1,4 +1,4 @@
-/** A row of the platform's store. */
+/** A row of a table of the platform's store. */
 export type StoreRow = {
 	readonly key: string;
 	/** Undefined for a deleted row. */
--- a/packages/sessions/take-operation.ts
+++ b/packages/sessions/take-operation.ts
@@ -28,8 +28,8 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Maximum number of pooled operations that a share keeps in excess of its capacity. */
-const maxExcessTokens = 3;
+/** Maximum number of tokens that a share keeps even if its capacity is smaller, so that operations granted from the pool are not lost. */
+const maxKeptTokens = 3;
 
 /** Minimum milliseconds after which a refused caller may retry. */
 const minRetryMs = 50;
@@ -54,7 +54,7 @@
 	const rate = held + unallocatedRate;
 	const capacity = burstBudget * ((burstBudgetFractions.bucketPerHost / hostCount) + (burstBudgetFractions.bucketByShare * held / Math.max(limits.rate, 1e-9)));
 	const elapsed = Math.max(0, now.steady - previous.refilledAt);
-	const maxTokens = Math.max(capacity, Math.min(previous.tokens, maxExcessTokens));
+	const maxTokens = Math.max(capacity, Math.min(previous.tokens, maxKeptTokens));
 	const tokens = Math.min(maxTokens, previous.tokens + (elapsed * rate / millisecondsPerSecond));
 	const updated = {...(isFirst ? addDemand(previous, now) : previous), tokens, refilledAt: now.steady};
 	if (tokens >= 1) {
