--- a/packages/sessions/assign-rates.test.ts
+++ b/packages/sessions/assign-rates.test.ts
@@ -5,19 +5,19 @@
 import {createShareState} from './create-share-state.ts';
 import {findDemand} from './find-demand.ts';
 import {findHeldRate} from './find-held-rate.ts';
-import type {RateHome} from './rate-home.ts';
+import type {RateAllocatorState} from './rate-allocator-state.ts';
 import type {ShareState} from './share-state.ts';
 import {takeOperation} from './take-operation.ts';
 
 const hosts = ['a1', 'a2', 'b1', 'c1'];
 const bound = {window: 5000, overage: 0.1, slack: 20};
 const limits = new Map([['upper', {rate: 100, burst: 100}]]);
-const empty: RateHome = {
-	epoch: 1, startedAt: 0, hosts: new Map(), heardAt: new Map(), pools: new Map(),
+const empty: RateAllocatorState = {
+	epoch: 1, startedAt: 0, hosts: new Map(), lastClaimAt: new Map(), pools: new Map(),
 };
 
-const claim = (home: RateHome, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
-	const {home: next, grants} = assignRates(home, {
+const claim = (state: RateAllocatorState, {host, demand, held = 0, needed = 0, now}: {readonly host: string; readonly demand: number; readonly held?: number; readonly needed?: number; readonly now: number}) => {
+	const {state: next, grants} = assignRates(state, {
 		host,
 		claims: [{
 			workspace: 'upper', demand, held, heldFor: 1000, needed,
@@ -25,23 +25,23 @@
 		limits,
 		bound,
 		registered: hosts,
-		span: 3000,
-		unknownSpan: 3300,
+		spanMs: 3000,
+		handoverMs: 3300,
 		now,
 	});
-	return {home: next, rate: grants.get('upper')?.rate ?? 0, units: grants.get('upper')?.units ?? 0};
+	return {state: next, rate: grants.get('upper')?.rate ?? 0, units: grants.get('upper')?.units ?? 0};
 };
 
-/** Plays callers of one workspace who come to many hosts at random, and counts what runs and what is refused. */
-function playSparseFleet({rate, hostCount, seed, perSecond}: {readonly rate: number; readonly hostCount: number; readonly seed: number; readonly perSecond: number}) {
+/** Simulates callers of one workspace that reach hosts at random, and returns when operations ran and how many were refused. */
+function simulateSparseFleet({rate, hostCount, seed, perSecond}: {readonly rate: number; readonly hostCount: number; readonly seed: number; readonly perSecond: number}) {
 	const workspaceLimits = new Map([['upper', {rate, burst: rate}]]);
 	const registered = Array.from({length: hostCount}, (_, index) => `host-${index}`);
 	const shares = new Map<string, ShareState>();
 	const taken: number[] = [];
 	let refused = 0;
-	let home: RateHome = {...empty, startedAt: -15_000};
+	let state: RateAllocatorState = {...empty, startedAt: -15_000};
 	let random = seed;
-	const draw = () => {
+	const nextRandom = () => {
 		random = ((random * 1_103_515_245) + 12_345) % 2_147_483_648;
 		return random / 2_147_483_648;
 	};
@@ -58,7 +58,7 @@
 		const at = {steady: now, wall: now};
 		const share = shares.get(host) ?? createShareState(at);
 		const held = findHeldRate(share, at);
-		const assigned = assignRates(home, {
+		const assigned = assignRates(state, {
 			host,
 			claims: [{
 				workspace: 'upper', demand: findDemand(share, at), held: held.rate, heldFor: held.left, needed: 1,
@@ -66,18 +66,18 @@
 			limits: workspaceLimits,
 			bound,
 			registered,
-			span: 2800,
-			unknownSpan: 2800,
+			spanMs: 2800,
+			handoverMs: 2800,
 			now,
 		});
-		({home} = assigned);
+		({state} = assigned);
 		shares.set(host, applyGrant(share, {
-			...assigned.grants.get('upper') ?? {rate: 0, units: 0}, span: 2500, askedAt: at, now,
+			...assigned.grants.get('upper') ?? {rate: 0, units: 0}, spanMs: 2500, requestedAt: at, now,
 		}));
 	};
 
-	for (let now = 0; now < 14_000; now -= 1000 * Math.log(1 - draw()) / perSecond) {
-		const host = registered[Math.floor(draw() * hostCount)] ?? '';
+	for (let now = 0; now < 14_000; now -= 1000 * Math.log(1 - nextRandom()) / perSecond) {
+		const host = registered[Math.floor(nextRandom() * hostCount)] ?? '';
 		let isTaken = take(host, now, true);
 		if (!isTaken) {
 			ask(host, now);
@@ -95,36 +95,36 @@
 }
 
 describe('assignRates', () => {
-	it('gives the first callers a little of the rate once all hosts have claimed', () => {
-		let home = empty;
+	it('assigns an equal part to hosts without demand once all hosts have claimed', () => {
+		let state = empty;
 		for (const host of hosts) {
-			({home} = claim(home, {host, demand: 0, now: 10}));
+			({state} = claim(state, {host, demand: 0, now: 10}));
 		}
 
-		expect(claim(home, {host: 'a1', demand: 0, now: 20}).rate).to.equal(2.5);
+		expect(claim(state, {host: 'a1', demand: 0, now: 20}).rate).to.equal(2.5);
 	});
 
-	it('gives callers who wait what no host holds', () => {
-		let home = empty;
+	it('grants waiting callers operations from the unassigned rate', () => {
+		let state = empty;
 		for (const host of hosts) {
-			({home} = claim(home, {host, demand: 5, now: 10}));
+			({state} = claim(state, {host, demand: 5, now: 10}));
 		}
 
-		({home} = claim(home, {host: 'a1', demand: 5, now: 500}));
-		expect(claim(home, {
+		({state} = claim(state, {host: 'a1', demand: 5, now: 500}));
+		expect(claim(state, {
 			host: 'a1', demand: 5, needed: 2, now: 510,
 		}).units).to.equal(2);
 	});
 
-	it('moves shares to where a flood comes in', () => {
-		let home = empty;
+	it('moves shares to the host with the highest demand', () => {
+		let state = empty;
 		let rate = 0;
 		for (const now of [10, 700, 1400]) {
 			for (const host of hosts) {
-				const claimed = claim(home, {
+				const claimed = claim(state, {
 					host, demand: host === 'a1' ? 300 : 5, held: 0, now,
 				});
-				({home} = claimed);
+				({state} = claimed);
 				rate = host === 'a1' ? claimed.rate : rate;
 			}
 		}
@@ -132,7 +132,7 @@
 		expect(rate).to.be.above(70);
 	});
 
-	it('gives no more than is held while hosts of an earlier home are unknown', () => {
+	it('grants no more than a host holds while shares of an earlier allocator may be in use', () => {
 		expect(claim(empty, {
 			host: 'a1', demand: 50, held: 12, needed: 2, now: 10,
 		})).to.include({rate: 12, units: 0});
@@ -142,20 +142,20 @@
 	});
 
 	for (const {rate, hostCount} of [{rate: 5, hostCount: 89}, {rate: 12, hostCount: 9}, {rate: 24, hostCount: 9}, {rate: 46, hostCount: 30}, {rate: 137, hostCount: 89}]) {
-		it(`refuses next to nobody who comes to ${hostCount} hosts at random, within a rate of ${rate}`, () => {
-			const plays = Array.from({length: 12}, (_, seed) => playSparseFleet({
+		it(`refuses at most 0.1 % of callers that reach ${hostCount} hosts at random, below a rate of ${rate}`, () => {
+			const runs = Array.from({length: 12}, (_, seed) => simulateSparseFleet({
 				rate, hostCount, seed: 7919 * (seed + 1), perSecond: rate / 1.6,
 			}));
-			const refused = plays.reduce((sum, play) => sum + play.refused, 0);
-			const asked = plays.reduce((sum, play) => sum + play.refused + play.taken.length, 0);
+			const refused = runs.reduce((sum, run) => sum + run.refused, 0);
+			const asked = runs.reduce((sum, run) => sum + run.refused + run.taken.length, 0);
 			expect(refused / asked).to.be.at.most(0.001);
 		});
 	}
 
-	it('keeps every window within the bound when many hosts are flooded', () => {
-		const flood = fc.record({rate: fc.integer({min: 5, max: 60}), hostCount: fc.integer({min: 5, max: 90}), seed: fc.integer({min: 1, max: 1e6})});
-		fc.assert(fc.property(flood, ({rate, hostCount, seed}) => {
-			const {taken} = playSparseFleet({
+	it('keeps every window within the bound when many hosts are overloaded', () => {
+		const overload = fc.record({rate: fc.integer({min: 5, max: 60}), hostCount: fc.integer({min: 5, max: 90}), seed: fc.integer({min: 1, max: 1e6})});
+		fc.assert(fc.property(overload, ({rate, hostCount, seed}) => {
+			const {taken} = simulateSparseFleet({
 				rate, hostCount, seed, perSecond: rate * 6,
 			});
 			const allowed = (((rate * 5) + rate) * 1.1) + 20;
@@ -165,22 +165,22 @@
 		}), {numRuns: 25});
 	});
 
-	it('never lets the shares that hold at one moment exceed the rate, whatever answers are lost', () => {
+	it('never lets the sum of unexpired shares exceed the rate, whichever answers are lost', () => {
 		const step = fc.record({
 			host: fc.constantFrom(...hosts), demand: fc.integer({min: 0, max: 500}), isLost: fc.boolean(), pause: fc.integer({min: 0, max: 900}),
 		});
 		fc.assert(fc.property(fc.array(step, {maxLength: 60}), steps => {
-			let home: RateHome = {...empty, startedAt: -10_000};
+			let state: RateAllocatorState = {...empty, startedAt: -10_000};
 			let now = 0;
 			const held = new Map<string, {readonly rate: number; readonly until: number}>();
 			for (const {host, demand, isLost, pause} of steps) {
 				now += pause;
 				const old = held.get(host);
 				const holds = old !== undefined && old.until > now ? old.rate : 0;
-				const claimed = claim(home, {
+				const claimed = claim(state, {
 					host, demand, held: holds, now,
 				});
-				({home} = claimed);
+				({state} = claimed);
 				if (!isLost) {
 					held.set(host, {rate: claimed.rate, until: now + 2700});
 				}
--- a/packages/sessions/create-counted-store.ts
+++ b/packages/sessions/create-instrumented-store.ts
@@ -1,8 +1,8 @@
 import type {SessionMetrics} from './session-metrics.ts';
 import type {Store} from './store.ts';
 
-/** Creates a store that counts the calls to another. */
-export function createCountedStore(store: Store, calls: SessionMetrics['storeCalls']): Store {
+/** Creates a store that forwards each call to another one and counts it by kind and result. */
+export function createInstrumentedStore(store: Store, calls: SessionMetrics['storeCalls']): Store {
 	return {
 		async read(table) {
 			const outcome = await store.read(table);
--- /dev/null
+++ b/packages/sessions/create-rate-allocator.ts
@@ -0,0 +1,96 @@
+import {assignRates} from './assign-rates.ts';
+import {findLeaseLeft} from './find-lease-left.ts';
+import type {FleetPeer} from './fleet-peer.ts';
+import type {FleetRows} from './fleet-rows.ts';
+import type {Instant} from './instant.ts';
+import type {RateBound} from './rate-bound.ts';
+import type {RateAllocatorState} from './rate-allocator-state.ts';
+import type {WorkspaceLimits} from './workspace-limits.ts';
+
+type Options = {
+	readonly self: string;
+	/** Partition of the workspaces whose rates are allocated; see `findRatePartition`. */
+	readonly partition: number;
+	readonly incarnation: number;
+	readonly bound: RateBound;
+	readonly findLimits: () => ReadonlyMap<string, WorkspaceLimits>;
+	readonly findFleet: () => FleetRows | undefined;
+	/** Moment as of which the store confirmed the fleet's rows. */
+	readonly findFleetConfirmedAt: () => Instant | undefined;
+	readonly now: () => Instant;
+};
+
+/** Rate allocator of one partition, active only while this process holds the lease. */
+type RateAllocator = {
+	/** Whether the store names this process as the lease holder. */
+	readonly isAllocator: () => boolean;
+	/** Answers the claims of a host if this process holds the lease, otherwise `notAllocator`. */
+	readonly claimRates: FleetPeer['claimRates'];
+	/** Registered hosts that have sent no claim for `hostSilenceMs`; empty unless this process holds the lease. */
+	readonly listSilentHosts: () => readonly string[];
+};
+
+/** Lifetime of shares in milliseconds: long enough to outlast a short network partition, short enough to reclaim a lost host's share soon. */
+const shareSpanMs = 2500;
+
+/** Milliseconds that the allocator adds to a share's lifetime, so that a share never expires here before it does at its host. */
+const expiryMarginMs = 300;
+
+/** Milliseconds without a claim after which a host counts as silent. */
+const hostSilenceMs = 10_000;
+
+/** Creates the part of a host that divides the rates of one partition among all hosts while it holds the allocator's lease. */
+export function createRateAllocator(options: Options): RateAllocator {
+	const {
+		self, partition, incarnation, bound, findFleet, now,
+	} = options;
+	let state: RateAllocatorState | undefined;
+
+	const findRow = () => findFleet()?.rateAllocators.get(partition);
+	const isAllocator = () => findRow()?.holder === self && findRow()?.incarnation === incarnation;
+
+	const hasLease = () => {
+		const confirmedAt = options.findFleetConfirmedAt();
+		return isAllocator() && confirmedAt !== undefined && findLeaseLeft(confirmedAt, now()) > 0;
+	};
+
+	const claimRates: RateAllocator['claimRates'] = async ({host, epoch, claims}) => {
+		const row = findRow();
+		if (row === undefined || !hasLease() || epoch !== row.epoch) {
+			return 'notAllocator';
+		}
+
+		if (state?.epoch !== row.epoch) {
+			state = {
+				epoch: row.epoch, startedAt: now().steady, hosts: new Map(), lastClaimAt: new Map(), pools: new Map(),
+			};
+		}
+
+		const assigned = assignRates(state, {
+			host,
+			claims,
+			limits: options.findLimits(),
+			bound,
+			registered: [...findFleet()?.hosts.keys() ?? []],
+			spanMs: shareSpanMs + expiryMarginMs,
+			handoverMs: shareSpanMs + expiryMarginMs,
+			now: now().steady,
+		});
+		({state} = assigned);
+		return {grants: assigned.grants, span: shareSpanMs};
+	};
+
+	return {
+		isAllocator,
+		claimRates,
+		listSilentHosts() {
+			const at = now().steady;
+			const current = state;
+			if (current === undefined || !hasLease() || at - current.startedAt < hostSilenceMs) {
+				return [];
+			}
+
+			return [...findFleet()?.hosts.keys() ?? []].filter(host => host !== self && at - (current.lastClaimAt.get(host) ?? current.startedAt) > hostSilenceMs);
+		},
+	};
+}
--- /dev/null
+++ b/packages/sessions/create-table-cache.ts
@@ -0,0 +1,69 @@
+import {findElapsed} from './find-elapsed.ts';
+import type {Instant} from './instant.ts';
+import {isSameMark} from './is-same-mark.ts';
+import type {CachedTable} from './cached-table.ts';
+import type {StoreTable} from './store-table.ts';
+
+type Options = {
+	readonly onTable: (table: StoreTable, cached: CachedTable) => void;
+	readonly now: () => Instant;
+};
+
+/** Cache of the store's tables, with the staleness of each. */
+type TableCache = {
+	readonly findTable: (table: StoreTable) => CachedTable | undefined;
+	/** Milliseconds since the store confirmed each table. */
+	readonly listAges: () => ReadonlyMap<StoreTable, number>;
+	readonly listTables: () => ReadonlyArray<readonly [StoreTable, CachedTable]>;
+	/** Stores a table that was read from the store or received from another host, unless the cached one is newer. */
+	readonly updateTable: (table: StoreTable, newer: CachedTable) => void;
+	/** Milliseconds until the first table exceeds its staleness limit; 0 or less if one already does or is missing. */
+	readonly findFreshRemaining: (limits: Readonly<Record<StoreTable, number>>) => number;
+	/** Waits until a table is updated, at most `limit` milliseconds. */
+	readonly waitForUpdate: (limit: number) => Promise<void>;
+};
+
+/** Creates the cache of the store's tables. */
+export function createTableCache({onTable, now}: Options): TableCache {
+	const cache = new Map<StoreTable, CachedTable>();
+	const waiters = new Set<() => void>();
+
+	const findAge = (table: StoreTable) => {
+		const cached = cache.get(table);
+		return cached === undefined ? Number.POSITIVE_INFINITY : findElapsed(cached.confirmedAt, now());
+	};
+
+	return {
+		findTable: table => cache.get(table),
+		listTables: () => [...cache],
+		listAges: () => new Map([...cache.keys()].map(table => [table, findAge(table)])),
+		updateTable(table, newer) {
+			const older = cache.get(table);
+			const isNewer = older === undefined || newer.version > older.version
+				|| (newer.version === older.version && newer.confirmedAt.steady >= older.confirmedAt.steady);
+			if (!isNewer) {
+				return;
+			}
+
+			// Unchanged rows keep their identity, so that they are not decoded again.
+			const rows = isSameMark(older?.mark, newer.mark) && older !== undefined ? older.rows : newer.rows;
+			const updated = {...newer, rows};
+			cache.set(table, updated);
+			onTable(table, updated);
+			for (const wake of waiters) {
+				wake();
+			}
+		},
+		findFreshRemaining: limits => Math.min(...Object.entries(limits).map(([table, limit]) => limit - findAge(table as StoreTable))),
+		waitForUpdate: async limit => new Promise<void>(resolve => {
+			const finish = () => {
+				clearTimeout(timer);
+				waiters.delete(finish);
+				resolve();
+			};
+
+			const timer = setTimeout(finish, limit);
+			waiters.add(finish);
+		}),
+	};
+}
--- /dev/null
+++ b/packages/sessions/create-table-sync.ts
@@ -0,0 +1,239 @@
+/* eslint-disable no-await-in-loop -- the steps follow each other */
+import {setTimeout as sleep} from 'node:timers/promises';
+import type {AskedTable} from './asked-table.ts';
+import {createTableUpdate} from './create-table-update.ts';
+import {createSourceChoice} from './create-source-choice.ts';
+import {createStoreFollower} from './create-store-follower.ts';
+import {createTableCache} from './create-table-cache.ts';
+import {findRenewal} from './find-renewal.ts';
+import {findTableMark} from './find-table-mark.ts';
+import type {FleetPeer} from './fleet-peer.ts';
+import type {HostRow} from './host-row.ts';
+import type {Instant} from './instant.ts';
+import {isSameMark} from './is-same-mark.ts';
+import type {CachedTable} from './cached-table.ts';
+import {mergeTableUpdate} from './merge-table-update.ts';
+import type {PrimaryPosition} from './primary-position.ts';
+import type {SessionLog} from './session-log.ts';
+import {settleSpan} from './settle-span.ts';
+import type {Store} from './store.ts';
+import type {StoreTable} from './store-table.ts';
+import type {TableSync} from './table-sync.ts';
+
+type Options = {
+	readonly self: string;
+	readonly zone: string;
+	/** Whether the whole fleet is starting for the first time. */
+	readonly isFirstStart: boolean;
+	readonly store: Store;
+	readonly listHosts: () => readonly HostRow[];
+	readonly findPeer: (host: string) => FleetPeer | undefined;
+	/** Registers this host in the store. */
+	readonly register: () => Promise<void>;
+	/** Called whenever a cached table is updated. */
+	readonly onTable: (table: StoreTable, cached: CachedTable) => void;
+	/** Lists the latest log positions of the primaries that this host knows. */
+	readonly listPositions: () => readonly PrimaryPosition[];
+	/** Called with the log positions that another host knows; their ages count from `from`. */
+	readonly onPositions: (positions: readonly PrimaryPosition[], from: Instant) => void;
+	readonly now: () => Instant;
+	readonly log: SessionLog;
+};
+
+/** Milliseconds between two requests to a source, and between two choices of a source. */
+const stepIntervalMs = 100;
+
+/** Staleness in milliseconds, by table, at which a host that is asked for its tables starts to read the store. */
+const readThresholdsMs = {configuration: 1400, fleet: 1400, instances: 6000} as const satisfies Record<StoreTable, number>;
+
+/** Maximum staleness in milliseconds, by table, of a source's tables; the host changes its source beyond it. */
+const maxSourceAgesMs = {configuration: 1700, fleet: 1700, instances: 6500} as const satisfies Record<StoreTable, number>;
+
+/** Minimum and maximum milliseconds for which a source may wait for changes before it answers. */
+const pollWaitsMs = {min: 250, max: 1100};
+
+/** Milliseconds for which an answer waits for the other confirmations once one has been renewed, so that one answer carries all of them. */
+const batchDelayMs = 40;
+
+/** Milliseconds after the first start of the fleet during which a host waits for its source instead of reading the store in its place. */
+const bootstrapTimeoutMs = 2500;
+
+/** Milliseconds after which a store reader must have recent tables. A host that is asked for tables answers then with those it has. */
+const readTimeoutMs = 250;
+
+type TableRequest = ReadonlyMap<StoreTable, AskedTable>;
+
+const tables: readonly StoreTable[] = ['configuration', 'fleet', 'instances'];
+
+/** Creates the synchronization of a host's cached tables: it reads the store itself or polls another host; see `chooseSource`. */
+export function createTableSync(options: Options): TableSync {
+	const {self, store, now, log} = options;
+	/** Tables to request with all rows, because rows were deleted. */
+	const incompleteTables = new Set<StoreTable>();
+	let isStopped = false;
+	/** Whether the tables have been up to date once. Until then, hosts that start together may still be waiting for each other. */
+	let hasSynchronized = false;
+	const startedAt = now().steady;
+
+	const cache = createTableCache({onTable: options.onTable, now});
+
+	const follower = createStoreFollower({
+		self, store, cache, now, log,
+	});
+	const sources = createSourceChoice(options);
+
+	/** Whether the fleet is starting for the first time and the store readers may not have any tables yet. */
+	const isBootstrapping = () => options.isFirstStart && !hasSynchronized && now().steady - startedAt < bootstrapTimeoutMs;
+
+	/** Finds the steady milliseconds at which a store reader must have recent tables. */
+	const findReadDeadline = () => (follower.followedSince() ?? now().steady) + readTimeoutMs;
+
+	const hasNewRows = (asked: TableRequest) => cache.listTables().some(([table, {mark}]) => !isSameMark(asked.get(table)?.mark, mark));
+
+	/** Waits until there is something new for the requesting host, at most `wait` milliseconds; reads the store if the cached tables are stale. */
+	const waitForChanges = async (asked: TableRequest, wait: number) => {
+		const requestedAt = now().steady;
+		let deadline = requestedAt + wait;
+		while (!hasNewRows(asked)) {
+			const at = now().steady;
+			const renewal = findRenewal({asked, waited: at - requestedAt, ages: cache.listAges()});
+			if (renewal === 'all') {
+				return;
+			}
+
+			if (renewal === 'some') {
+				deadline = Math.min(deadline, at + batchDelayMs);
+			}
+
+			const freshRemaining = cache.findFreshRemaining(readThresholdsMs);
+			const isReading = freshRemaining <= 0 && !isBootstrapping();
+			if (isReading) {
+				follower.start();
+			}
+
+			const end = isReading ? Math.min(deadline, findReadDeadline()) : deadline;
+			if (at >= end) {
+				return;
+			}
+
+			await cache.waitForUpdate(freshRemaining > 0 ? Math.min(end - at, freshRemaining) : end - at);
+		}
+	};
+
+	/** Requests the tables from another host and caches them; returns false if it does not answer or its tables are too stale. */
+	const poll = async (source: string): Promise<boolean> => {
+		const sentAt = now();
+		const ages = cache.listAges();
+		const asked: TableRequest = new Map(cache.listTables().map(([table, {mark}]) => [table, {mark: incompleteTables.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
+		const wait = Math.max(pollWaitsMs.min, Math.min(pollWaitsMs.max, cache.findFreshRemaining(readThresholdsMs)));
+		const answer = await options.findPeer(source)?.readTables(asked, wait);
+		if (answer === undefined) {
+			return false;
+		}
+
+		// The other host received the request no earlier than `sentAt` and then waited for `waited` milliseconds before it answered.
+		const earliestAnswerAt = {steady: sentAt.steady + answer.waited, wall: sentAt.wall + answer.waited};
+		for (const update of answer.tables) {
+			const cached = cache.findTable(update.table);
+			if (cached !== undefined && update.version < cached.version) {
+				continue;
+			}
+
+			const merged = mergeTableUpdate(update, {cached, earliestAnswerAt});
+			if (merged === undefined) {
+				incompleteTables.add(update.table);
+			} else {
+				incompleteTables.delete(update.table);
+				cache.updateTable(update.table, merged);
+			}
+		}
+
+		options.onPositions(answer.positions, earliestAnswerAt);
+		// Rows that this host itself read from the store are no evidence that the source is up to date.
+		return tables.every(table => answer.tables.some(update => update.table === table && update.reader !== self && update.age <= maxSourceAgesMs[table]));
+	};
+
+	const readTable = async (table: StoreTable) => {
+		const outcome = await store.read(table);
+		if (outcome.kind === 'done') {
+			const {rows: list, version, sentAt} = outcome.value;
+			const rows = new Map(list.map(row => [row.key, row]));
+			cache.updateTable(table, {
+				rows, version, mark: findTableMark(rows), confirmedAt: sentAt, reader: self,
+			});
+		} else {
+			log.warn({table, outcome: outcome.kind}, 'store: The host could not read the table when it started.');
+		}
+	};
+
+	/**
+	 * Registers the host and reads all tables, so that it does not depend on other hosts that may be restarting as well.
+	 * On the first start of the fleet, the host waits for the other hosts to register and reads only the `fleet` table; the
+	 * store reader among the hosts reads the others.
+	 */
+	const startUp = async () => {
+		await options.register();
+		if (options.isFirstStart) {
+			await sleep(settleSpan);
+			await readTable('fleet');
+		} else {
+			await Promise.all(tables.map(async table => readTable(table)));
+		}
+	};
+
+	/** Reads the store; stops choosing it for a while if its tables become too stale. */
+	const stepDirect = async () => {
+		follower.start();
+		if (now().steady > findReadDeadline()) {
+			if (cache.findFreshRemaining(maxSourceAgesMs) <= 0) {
+				sources.avoid(self);
+			} else {
+				hasSynchronized = true;
+				sources.approve(self);
+			}
+		}
+
+		await sleep(stepIntervalMs);
+	};
+
+	/** Polls another host; stops choosing it for a while if its tables are too stale. */
+	const stepPolled = async (source: string) => {
+		if (await poll(source)) {
+			hasSynchronized = true;
+			sources.approve(source);
+			follower.stop();
+			await sleep(stepIntervalMs);
+		} else if (isBootstrapping()) {
+			await sleep(stepIntervalMs);
+		} else {
+			sources.avoid(source);
+		}
+	};
+
+	const run = async () => {
+		await startUp();
+		while (!isStopped) { // eslint-disable-line no-unmodified-loop-condition -- `stop` sets it
+			const source = sources.choose();
+			await (source === self ? stepDirect() : stepPolled(source));
+		}
+	};
+
+	void run();
+	return {
+		async readTables(asked, wait) {
+			const requestedAt = now();
+			await waitForChanges(asked, wait);
+			const at = now();
+			return {
+				waited: Math.max(0, at.steady - requestedAt.steady),
+				tables: cache.listTables().map(([table, cached]) => createTableUpdate(table, {cached, asked: asked.get(table), now: at})),
+				positions: options.listPositions(),
+			};
+		},
+		isStoreReader: () => follower.followedSince() !== undefined,
+		stop() {
+			isStopped = true;
+			follower.stop();
+		},
+	};
+}
--- a/packages/sessions/demand-fade.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Milliseconds in which the memory of demand fades to a third. */
-export const demandFade = 1500;
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -1,15 +1,15 @@
 import type {AskedTable} from './asked-table.ts';
 import type {JobAnswer} from './job-answer.ts';
 import type {Job} from './job.ts';
-import type {PeerTable} from './peer-table.ts';
 import type {PrimaryPosition} from './primary-position.ts';
+import type {TableUpdate} from './table-update.ts';
 import type {RateClaim} from './rate-claim.ts';
 import type {RateGrant} from './rate-grant.ts';
 import type {StoreTable} from './store-table.ts';
 
 /** What another host knows of the store and of the groups' primaries. */
 type PeerKnowledge = {
-	readonly tables: readonly PeerTable[];
+	readonly tables: readonly TableUpdate[];
 	readonly positions: readonly PrimaryPosition[];
 	/** Milliseconds that the other host waited for a change before it answered; ages count from then. */
 	readonly waited: number;
@@ -41,7 +41,7 @@
 	 * The answer comes when rows change or proofs are renewed, and after `wait` milliseconds at the latest.
 	 */
 	readonly readTables: (asked: ReadonlyMap<StoreTable, AskedTable>, wait: number) => Promise<PeerKnowledge | undefined>;
-	readonly claimRates: (claims: Claims) => Promise<Shares | 'notHome' | undefined>;
+	readonly claimRates: (claims: Claims) => Promise<Shares | 'notAllocator' | undefined>;
 	/** Asks the host to give up the primary of a group before an epoch; true once it has. */
 	readonly fenceGroup: (group: string, epoch: number) => Promise<boolean | undefined>;
 	/** Whether the host hears nothing of an instance either. */
--- a/packages/sessions/follow-table.ts
+++ b/packages/sessions/follow-table.ts
@@ -4,7 +4,7 @@
 import {findProof} from './find-proof.ts';
 import {findTableMark} from './find-table-mark.ts';
 import type {Instant} from './instant.ts';
-import type {KnownTable} from './known-table.ts';
+import type {CachedTable} from './cached-table.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 import type {StoreClock} from './store-clock.ts';
@@ -14,46 +14,46 @@
 type Options = {
 	readonly store: Store;
 	readonly table: StoreTable;
-	/** Name of this host. */
+	/** Name of this host, recorded as the reader of the table. */
 	readonly reader: string;
-	/** Milliseconds that a call may wait for changes, given the present steady milliseconds. */
+	/** Returns the milliseconds that a call may wait for changes; `now` is in steady milliseconds. */
 	readonly findWait: (now: number) => number;
 	readonly now: () => Instant;
-	/** What is known already, to go on from. */
-	readonly known: KnownTable | undefined;
-	readonly onTable: (known: KnownTable) => void;
+	/** Cached table to continue from; undefined to read the whole table first. */
+	readonly cached: CachedTable | undefined;
+	readonly onTable: (cached: CachedTable) => void;
 	readonly log: SessionLog;
-	/** Ends the following. */
+	/** Stops following when aborted. */
 	readonly signal: AbortSignal;
 };
 
 /**
- * Milliseconds between two calls at the least: rows that change one after the other are fetched together. Instances tell
- * small changes all the time, none of which must be known at once.
+ * Minimum milliseconds between two calls, by table, so that rows that change in quick succession are fetched together.
+ * Rows of instances change frequently, and none of those changes is urgent.
  */
-const callSpacings = {configuration: 200, fleet: 120, instances: 600} as const satisfies Record<StoreTable, number>;
+const minCallIntervalsMs = {configuration: 200, fleet: 120, instances: 600} as const satisfies Record<StoreTable, number>;
 
-/** Milliseconds between two tries while the store does not answer, at the least and at the most. */
-const retryDelay = {first: 100, last: 400};
+/** Linear backoff in milliseconds while the store does not answer: the delay after the first failure, and the maximum. */
+const retryDelaysMs = {first: 100, last: 400};
 
 /**
- * Follows a table of the store until told to stop: reads it whole, then waits for changes.
+ * Follows a table of the store until `signal` is aborted: reads the whole table, then waits for changes.
  *
- * Whenever a call fails or the store has forgotten the history, the table is read whole again.
+ * Reads the whole table again after a failed call, or if the store no longer has the history since the last version.
  */
 export async function followTable(options: Options): Promise<void> {
 	const {
 		store, table, reader, findWait, now, onTable, log, signal,
 	} = options;
-	let {known} = options;
-	let isWhole = known !== undefined;
+	let {cached} = options;
+	let isComplete = cached !== undefined;
 	let clock: StoreClock | undefined;
 	let failures = 0;
 	while (!signal.aborted) {
-		const outcome = known === undefined || !isWhole
+		const outcome = cached === undefined || !isComplete
 			? await store.read(table)
-			// Only a short call tells how the store's clock runs, without which a long one proves little.
-			: await store.follow(table, {after: known.version, wait: clock === undefined ? 0 : findWait(now().steady)});
+			// Only a short call gives a usable reading of the store's clock. Without one, a long call confirms the rows only as of when it was sent.
+			: await store.follow(table, {after: cached.version, wait: clock === undefined ? 0 : findWait(now().steady)});
 		if (signal.aborted) {
 			return;
 		}
@@ -63,46 +63,46 @@
 			logFailure({
 				table, outcome: outcome.kind, reason: 'reason' in outcome ? outcome.reason : undefined, failures,
 			}, log);
-			isWhole = false;
+			isComplete = false;
 			if (outcome.kind !== 'forgotten') {
-				await sleep(Math.min(retryDelay.last, retryDelay.first * failures) * (0.5 + (Math.random() / 2)));
+				await sleep(Math.min(retryDelaysMs.last, retryDelaysMs.first * failures) * (0.5 + (Math.random() / 2)));
 			}
 
 			continue;
 		}
 
 		if (failures > 0) {
-			log.info({table, failures}, 'store: The table can be read again.');
+			log.info({table, failures}, 'store: The host can read the table again.');
 			failures = 0;
 		}
 
 		const {rows, version} = outcome.value;
-		const proof = findProof(clock, outcome.value);
-		({clock} = proof);
-		const merged = known !== undefined && isWhole && rows.length === 0 ? known.rows : applyRows(isWhole ? known?.rows : undefined, rows);
-		known = {
+		const confirmation = findProof(clock, outcome.value);
+		({clock} = confirmation);
+		const merged = cached !== undefined && isComplete && rows.length === 0 ? cached.rows : applyRows(isComplete ? cached?.rows : undefined, rows);
+		cached = {
 			rows: merged,
 			version,
-			mark: merged === known?.rows ? known.mark : findTableMark(merged),
-			provenAt: proof.provenAt,
+			mark: merged === cached?.rows ? cached.mark : findTableMark(merged),
+			confirmedAt: confirmation.provenAt,
 			reader,
 		};
-		isWhole = true;
-		onTable(known);
-		await sleep(Math.max(0, callSpacings[table] - findElapsed(outcome.value.sentAt, outcome.value.answeredAt)));
+		isComplete = true;
+		onTable(cached);
+		await sleep(Math.max(0, minCallIntervalsMs[table] - findElapsed(outcome.value.sentAt, outcome.value.answeredAt)));
 	}
 }
 
 function logFailure(fields: {readonly table: StoreTable; readonly outcome: string; readonly reason: string | undefined; readonly failures: number}, log: SessionLog): void {
 	if (fields.failures === 1) {
-		log.warn(fields, 'store: The table cannot be read; it is tried again.');
+		log.warn(fields, 'store: The host cannot read the table and retries.');
 	} else {
-		log.debug(fields, 'store: The table still cannot be read.');
+		log.debug(fields, 'store: The host still cannot read the table.');
 	}
 }
 
-function applyRows(known: ReadonlyMap<string, StoreRow> | undefined, changed: readonly StoreRow[]): ReadonlyMap<string, StoreRow> {
-	const rows = new Map(known);
+function applyRows(cached: ReadonlyMap<string, StoreRow> | undefined, changed: readonly StoreRow[]): ReadonlyMap<string, StoreRow> {
+	const rows = new Map(cached);
 	for (const row of changed) {
 		if (row.value === undefined) {
 			rows.delete(row.key);
--- a/packages/sessions/share-state.ts
+++ b/packages/sessions/share-state.ts
@@ -2,18 +2,18 @@
 
 /** A host's share of a workspace's rate. */
 export type ShareState = {
-	/** Operations a second that the home granted. */
+	/** Operations per second that the rate allocator granted. */
 	readonly rate: number;
-	/** When the share was asked for. */
-	readonly askedAt: Instant;
-	/** Milliseconds for which it holds from then. */
-	readonly span: number;
-	/** Operations that may run now. */
-	readonly level: number;
-	/** Steady milliseconds when the level was last brought up to date. */
+	/** When the host requested the share. */
+	readonly requestedAt: Instant;
+	/** Lifetime in milliseconds, counted from `requestedAt`; 0 before the first grant. */
+	readonly spanMs: number;
+	/** Operations that may run now; may be fractional. */
+	readonly tokens: number;
+	/** Steady milliseconds at which `tokens` was last updated. */
 	readonly refilledAt: number;
-	/** Operations a second that callers ask for, smoothed. */
+	/** Operations per second that callers request, exponentially smoothed. */
 	readonly demand: number;
-	/** Steady milliseconds when the demand was last brought up to date. */
+	/** Steady milliseconds at which `demand` was last updated. */
 	readonly demandAt: number;
 };
