--- a/packages/sessions/fleet-keys.ts
+++ b/packages/sessions/fleet-keys.ts
@@ -1,6 +1,6 @@
 /** Keys of the fleet's rows in the store. */
 export const fleetKeys = {
-	duty: 'duty',
+	failoverLock: 'duty',
 	rateHomePrefix: 'rate-home/',
 	groupPrefix: 'group/',
 	hostPrefix: 'host/',
--- a/packages/sessions/fleet-rows.ts
+++ b/packages/sessions/fleet-rows.ts
@@ -1,4 +1,4 @@
-import type {DutyRow} from './duty-row.ts';
+import type {FailoverLockRow} from './failover-lock-row.ts';
 import type {GroupRow} from './group-row.ts';
 import type {HomeRow} from './home-row.ts';
 import type {HostRow} from './host-row.ts';
@@ -11,7 +11,7 @@
 	readonly hosts: ReadonlyMap<string, Versioned<HostRow>>;
 	/** Hosts that were not heard of for long; they may hold leases for a little while. */
 	readonly goneHosts: ReadonlyMap<string, Versioned<HostRow>>;
-	readonly duty: Versioned<DutyRow> | undefined;
+	readonly failoverLock: Versioned<FailoverLockRow> | undefined;
 	/** Hosts that share out the rates, by partition of the workspaces; see `findRatePartition`. */
 	readonly rateHomes: ReadonlyMap<number, Versioned<HomeRow>>;
 };
--- a/packages/sessions/mod.ts
+++ b/packages/sessions/mod.ts
@@ -46,7 +46,7 @@
 export * from './demand-fade.ts';
 export * from './describe-answer.ts';
 export type * from './directory.ts';
-export type * from './duty-row.ts';
+export type * from './failover-lock-row.ts';
 export * from './encode-work.ts';
 export * from './execute-promotion.ts';
 export type * from './failure-code.ts';
--- a/packages/sessions/parse-fleet-rows.ts
+++ b/packages/sessions/parse-fleet-rows.ts
@@ -1,4 +1,4 @@
-import type {DutyRow} from './duty-row.ts';
+import type {FailoverLockRow} from './failover-lock-row.ts';
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {GroupRow} from './group-row.ts';
@@ -13,12 +13,12 @@
 	const groups = new Map<string, Versioned<GroupRow>>();
 	const hosts = new Map<string, Versioned<HostRow>>();
 	const goneHosts = new Map<string, Versioned<HostRow>>();
-	let duty: Versioned<DutyRow> | undefined;
+	let failoverLock: Versioned<FailoverLockRow> | undefined;
 	const rateHomes = new Map<number, Versioned<HomeRow>>();
 	for (const {key, value = '', version} of rows) {
 		try {
-			if (key === fleetKeys.duty) {
-				duty = {...JSON.parse(value) as DutyRow, version};
+			if (key === fleetKeys.failoverLock) {
+				failoverLock = {...JSON.parse(value) as FailoverLockRow, version};
 			} else if (key.startsWith(fleetKeys.rateHomePrefix)) {
 				rateHomes.set(Number(key.slice(fleetKeys.rateHomePrefix.length)), {...JSON.parse(value) as HomeRow, version});
 			} else if (key.startsWith(fleetKeys.groupPrefix)) {
@@ -33,6 +33,6 @@
 	}
 
 	return {
-		groups, hosts, goneHosts, duty, rateHomes,
+		groups, hosts, goneHosts, failoverLock, rateHomes,
 	};
 }
