--- a/packages/sessions/commit-fence.ts
+++ b/packages/sessions/commit-fence.ts
@@ -3,10 +3,10 @@
 import type {FleetRows} from './fleet-rows.ts';
 import type {GroupRow} from './group-row.ts';
 import {readFleetRows} from './read-fleet-rows.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 
 /** Takes the failoverLock and raises the fence in one change; settles a lost answer by reading the rows. */
-export async function commitFence(replacement: Replacement): Promise<Fence | undefined> {
+export async function commitFence(replacement: Failover): Promise<Fence | undefined> {
 	const {group, self, store, log, now} = replacement;
 	const before = await readFleetRows(store, log);
 	const row = before?.groups.get(group.name);
@@ -41,7 +41,7 @@
 }
 
 /** Whether another host replaces this primary, or holds the failoverLock for another one. */
-function isTakenByOther({groups, failoverLock}: FleetRows, {group, self, reason}: Replacement): boolean {
+function isTakenByOther({groups, failoverLock}: FleetRows, {group, self, reason}: Failover): boolean {
 	if (reason === 'abandoned') {
 		return false;
 	}
--- a/packages/sessions/commit-group-row.ts
+++ b/packages/sessions/commit-group-row.ts
@@ -3,7 +3,7 @@
 import {fleetKeys} from './fleet-keys.ts';
 import type {GroupRow} from './group-row.ts';
 import {readFleetRows} from './read-fleet-rows.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 import type {Versioned} from './versioned.ts';
 
 /** Times that the row is written. */
@@ -13,7 +13,7 @@
 const roundInterval = 100;
 
 /** Writes a group's row over the version that is known; settles a lost answer by reading the row. */
-export async function commitGroupRow(from: Versioned<GroupRow>, {version: _version, ...row}: Versioned<GroupRow>, {store, group, log}: Replacement): Promise<Versioned<GroupRow> | undefined> {
+export async function commitGroupRow(from: Versioned<GroupRow>, {version: _version, ...row}: Versioned<GroupRow>, {store, group, log}: Failover): Promise<Versioned<GroupRow> | undefined> {
 	const key = `${fleetKeys.groupPrefix}${group.name}`;
 	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
 		await store.commit({expected: new Map([[key, from.version]]), values: new Map([[key, JSON.stringify(row)]])});
--- a/packages/sessions/create-fleet-control.ts
+++ b/packages/sessions/create-fleet-control.ts
@@ -5,8 +5,8 @@
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
-import {findReplacementPlace} from './find-replacement-place.ts';
-import {findReplacementReason} from './find-replacement-reason.ts';
+import {findFailoverRank} from './find-failover-rank.ts';
+import {findFailoverReason} from './find-failover-reason.ts';
 import type {GroupRow} from './group-row.ts';
 import type {HostRow} from './host-row.ts';
 import type {Instant} from './instant.ts';
@@ -15,7 +15,7 @@
 import type {ListedInstance} from './listed-instance.ts';
 import type {OrderPromotion} from './order-promotion.ts';
 import {replacePrimary} from './replace-primary.ts';
-import type {ReplacementReason} from './replacement-reason.ts';
+import type {FailoverReason} from './failover-reason.ts';
 import type {SessionGroup} from './session-group.ts';
 import type {SessionLog} from './session-log.ts';
 import {settleSpan} from './settle-span.ts';
@@ -60,7 +60,7 @@
 export function createFleetControl(options: Options): FleetControl {
 	const {own, store, now, log} = options;
 	const recent = new Map<string, {readonly row: HostRow; readonly seenAt: number}>();
-	const reasonSince = new Map<string, {readonly reason: ReplacementReason; readonly since: number}>();
+	const reasonSince = new Map<string, {readonly reason: FailoverReason; readonly since: number}>();
 	const busyGroups = new Set<string>();
 	let fleet: FleetRows | undefined;
 	/** Hosts that are marked as gone, and since when in steady milliseconds. */
@@ -98,12 +98,12 @@
 		log.info({group, primary: primary.id, outcome: outcome.kind}, 'group: The first primary is named in the store.');
 	};
 
-	const findPlace = (primary: ListedInstance | undefined) => findReplacementPlace({
+	const findPlace = (primary: ListedInstance | undefined) => findFailoverRank({
 		self: own.name,
 		zone: primary?.zone ?? '',
 		hosts: [...fleet?.hosts.values() ?? []],
 		gateways: primary === undefined ? [] : options.listGateways(primary),
-		isHoldingDuty: [...fleet?.groups.values() ?? []].some(row => row.state === 'fencing' && row.holder === own.name && busyGroups.size > 0),
+		hasFailoverLock: [...fleet?.groups.values() ?? []].some(row => row.state === 'fencing' && row.holder === own.name && busyGroups.size > 0),
 	});
 
 	/** Whether this host hears nothing of an instance, after asking it if there is no evidence yet. */
@@ -138,7 +138,7 @@
 		return isSilent;
 	};
 
-	const replace = async (group: SessionGroup, primary: string, reason: ReplacementReason) => {
+	const replace = async (group: SessionGroup, primary: string, reason: FailoverReason) => {
 		const workspace = options.findWorkspace();
 		if (workspace === undefined || (reason === 'silent' && !await isConfirmed(group.name, primary))) {
 			return;
@@ -196,7 +196,7 @@
 
 		const instance = group.findInstance(row.primary);
 		const at = now().steady;
-		const reason = findReplacementReason({
+		const reason = findFailoverReason({
 			row,
 			isDeparting: instance?.listed().isDeparting ?? false,
 			missingSince: group.missingSince(row.primary),
--- a/packages/sessions/execute-promotion.ts
+++ b/packages/sessions/execute-promotion.ts
@@ -8,7 +8,7 @@
 import type {InstanceStatus} from './instance-status.ts';
 import {commitGroupRow} from './commit-group-row.ts';
 import {readStatus} from './read-status.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 import type {Versioned} from './versioned.ts';
 
 /** Milliseconds between two rounds of questions to instances. */
@@ -31,7 +31,7 @@
 };
 
 /** Promotes the instance that is furthest ahead, and waits until it says that it leads. */
-export async function executePromotion(fence: Fence, replacement: Replacement, step: (line: string, fields: Readonly<Record<string, unknown>>) => void): Promise<Promoted | undefined> {
+export async function executePromotion(fence: Fence, replacement: Failover, step: (line: string, fields: Readonly<Record<string, unknown>>) => void): Promise<Promoted | undefined> {
 	const {group, now, orderPromotion, self} = replacement;
 	let {row} = fence;
 	if (replacement.reason === 'departing' || replacement.reason === 'missing') {
@@ -83,7 +83,7 @@
 
 type Answered = {readonly id: string; readonly status: InstanceStatus; readonly isDeparting: boolean};
 
-async function readStatuses({group, workspace}: Replacement, excluded?: string): Promise<readonly Answered[]> {
+async function readStatuses({group, workspace}: Failover, excluded?: string): Promise<readonly Answered[]> {
 	const instances = group.listInstances().filter(instance => instance.listed().id !== excluded);
 	const answers = await Promise.all(instances.map(async instance => {
 		const {id, isDeparting} = instance.listed();
@@ -99,7 +99,7 @@
  * Once a successor has been named, its promotion may have been ordered, so no other may lead. Before that the old
  * primary may go on if it was only silent, also as a new instance that took over its log.
  */
-function findLeader(answers: readonly Answered[], row: GroupRow, {reason}: Replacement): Answered | undefined {
+function findLeader(answers: readonly Answered[], row: GroupRow, {reason}: Failover): Answered | undefined {
 	const newestTerm = Math.max(...answers.map(({status}) => status.term));
 	const leader = answers.find(({status}) => status.role === 'primary' && status.term === newestTerm);
 	if (row.successor !== '') {
@@ -111,7 +111,7 @@
 }
 
 /** Lets the others receive what the old primary still has, if that answers; nothing is written there any more. */
-async function waitForCatchUp(fence: Fence, replacement: Replacement): Promise<void> {
+async function waitForCatchUp(fence: Fence, replacement: Failover): Promise<void> {
 	const {group, workspace, now} = replacement;
 	const old = group.findInstance(fence.row.primary);
 	const status = old && await readStatus(old, {workspace, timeout: statusTimeout});
--- a/packages/sessions/replacement.ts
+++ b/packages/sessions/failover.ts
@@ -2,15 +2,15 @@
 import type {HostRow} from './host-row.ts';
 import type {Instant} from './instant.ts';
 import type {OrderPromotion} from './order-promotion.ts';
-import type {ReplacementReason} from './replacement-reason.ts';
+import type {FailoverReason} from './failover-reason.ts';
 import type {SessionGroup} from './session-group.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 
 /** The replacement of a primary by this host, and what it uses. */
-export type Replacement = {
+export type Failover = {
 	readonly group: SessionGroup;
-	readonly reason: ReplacementReason;
+	readonly reason: FailoverReason;
 	/** Name of this host. */
 	readonly self: string;
 	readonly store: Store;
--- a/packages/sessions/find-replacement-place.ts
+++ b/packages/sessions/find-failover-rank.ts
@@ -8,7 +8,7 @@
 	/** Hosts that connect to the primary, best first. */
 	readonly gateways: readonly string[];
 	/** Whether this host is replacing the primary of another group. */
-	readonly isHoldingDuty: boolean;
+	readonly hasFailoverLock: boolean;
 };
 
 /** Place after which hosts wait no longer. */
@@ -23,8 +23,8 @@
  * Only hosts that connect to a primary notice that it is silent, so they come first. One host at a time may replace
  * primaries: while it does, it replaces all that it finds lost, such as those of a zone.
  */
-export function findReplacementPlace({
-	self, zone, hosts, gateways, isHoldingDuty,
+export function findFailoverRank({
+	self, zone, hosts, gateways, hasFailoverLock: isHoldingDuty,
 }: Options): number {
 	if (isHoldingDuty) {
 		return 0;
--- a/packages/sessions/find-replacement-reason.test.ts
+++ b/packages/sessions/find-failover-reason.test.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {findReplacementReason} from './find-replacement-reason.ts';
+import {findFailoverReason} from './find-failover-reason.ts';
 
 const health = {
 	latency: 30, heardAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
@@ -11,7 +11,7 @@
 	row, isDeparting: false, missingSince: undefined, health, fencedAt: undefined, isListFresh: true, now: 10_000,
 };
 
-describe('findReplacementReason', () => {
+describe('findFailoverReason', () => {
 	const cases = [
 		{name: 'leaves a calm primary alone', seen: calm, expected: undefined},
 		{name: 'replaces one that departs', seen: {...calm, isDeparting: true}, expected: 'departing'},
@@ -25,7 +25,7 @@
 	];
 	for (const {name, seen, expected} of cases) {
 		it(name, () => {
-			expect(findReplacementReason(seen)).to.equal(expected);
+			expect(findFailoverReason(seen)).to.equal(expected);
 		});
 	}
 });
--- a/packages/sessions/find-replacement-reason.ts
+++ b/packages/sessions/find-failover-reason.ts
@@ -1,6 +1,6 @@
 import type {GroupRow} from './group-row.ts';
 import type {InstanceHealth} from './instance-health.ts';
-import type {ReplacementReason} from './replacement-reason.ts';
+import type {FailoverReason} from './failover-reason.ts';
 
 type Seen = {
 	readonly row: GroupRow;
@@ -27,7 +27,7 @@
 const abandonedLimit = 5000;
 
 /** Finds whether the primary of a group should be replaced, as far as this host can see. */
-export function findReplacementReason(seen: Seen): ReplacementReason | undefined {
+export function findFailoverReason(seen: Seen): FailoverReason | undefined {
 	const {
 		row, health, missingSince, fencedAt, now,
 	} = seen;
--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -5,7 +5,7 @@
 import type {InstanceRuntime} from './instance-runtime.ts';
 import type {PooledLink} from './pooled-link.ts';
 import {replacePrimary} from './replace-primary.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 import type {SessionGroup} from './session-group.ts';
 import type {Store} from './store.ts';
 
@@ -95,7 +95,7 @@
 	readonly says: Says;
 	/** What is said after the order of promotion. */
 	readonly saysAfter: Says;
-	readonly reason?: Replacement['reason'];
+	readonly reason?: Failover['reason'];
 	readonly isLosing?: boolean;
 };
 
--- a/packages/sessions/replace-primary.ts
+++ b/packages/sessions/replace-primary.ts
@@ -1,7 +1,7 @@
 import {executePromotion} from './execute-promotion.ts';
 import {commitGroupRow} from './commit-group-row.ts';
 import {commitFence} from './commit-fence.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 import {sendStepDown} from './send-step-down.ts';
 import {waitForHosts} from './wait-for-hosts.ts';
 
@@ -12,7 +12,7 @@
  * Every step can be taken up by another host. The order of promotion is repeated only for the same instance
  * until that is known to be gone.
  */
-export async function replacePrimary(replacement: Replacement): Promise<void> {
+export async function replacePrimary(replacement: Failover): Promise<void> {
 	const {group, log, reason, now} = replacement;
 	const startedAt = now().steady;
 	const step = (line: string, fields: Readonly<Record<string, unknown>> = {}) => {
--- a/packages/sessions/replacement-reason.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Why a primary is to be replaced. */
-export type ReplacementReason = 'departing' | 'missing' | 'silent' | 'abandoned';
--- a/packages/sessions/send-step-down.ts
+++ b/packages/sessions/send-step-down.ts
@@ -1,6 +1,6 @@
 /* eslint-disable no-await-in-loop -- attempts follow each other */
 import {setTimeout as sleep} from 'node:timers/promises';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 
 /** Milliseconds within which an instance must answer. */
 const statusTimeout = 400;
@@ -9,7 +9,7 @@
 const stepDownLimit = 11_000;
 
 /** Tells a replaced primary to step down, as soon as it can be reached. */
-export async function sendStepDown(id: string, term: number, {group, workspace, now, log}: Replacement): Promise<void> {
+export async function sendStepDown(id: string, term: number, {group, workspace, now, log}: Failover): Promise<void> {
 	const until = now().steady + stepDownLimit;
 	while (now().steady < until) {
 		const instance = group.findInstance(id);
--- a/packages/sessions/wait-for-hosts.ts
+++ b/packages/sessions/wait-for-hosts.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Fence} from './fence.ts';
 import {findFenceLeft} from './find-fence-left.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 
 /** Milliseconds between two rounds of questions to hosts. */
 const roundInterval = 100;
@@ -12,7 +12,7 @@
  *
  * @returns Hosts that had to be waited out.
  */
-export async function waitForHosts({row, hosts, at}: Fence, replacement: Replacement): Promise<readonly string[]> {
+export async function waitForHosts({row, hosts, at}: Fence, replacement: Failover): Promise<readonly string[]> {
 	const {group, self, now, findPeer, listRecentHosts} = replacement;
 	group.fence(row.epoch);
 	const open = new Set([...hosts, ...listRecentHosts()].map(({name}) => name));
