--- a/packages/sessions/create-fleet-control.ts
+++ b/packages/sessions/create-fleet-controller.ts
@@ -1,7 +1,7 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {rankHosts} from '@sapphirefall/decisions';
 import {firstDelay} from './first-delay.ts';
-import type {FleetControl} from './fleet-control.ts';
+import type {FleetController} from './fleet-controller.ts';
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
@@ -57,7 +57,7 @@
 const votersLimit = 12;
 
 /** Creates a host's part in the control of the fleet. */
-export function createFleetControl(options: Options): FleetControl {
+export function createFleetController(options: Options): FleetController {
 	const {own, store, now, log} = options;
 	const recent = new Map<string, {readonly row: HostRow; readonly seenAt: number}>();
 	const reasonSince = new Map<string, {readonly reason: FailoverReason; readonly since: number}>();
--- a/packages/sessions/fleet-control.ts
+++ b/packages/sessions/fleet-controller.ts
@@ -3,7 +3,7 @@
 import type {HostRow} from './host-row.ts';
 
 /** A host's part in the control of the fleet: its registration, and the replacement of primaries. */
-export type FleetControl = {
+export type FleetController = {
 	readonly updateFleet: (fleet: FleetRows) => void;
 	/** Looks for what is to be done. */
 	readonly step: () => void;
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -1,6 +1,6 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Caller} from './caller.ts';
-import {createFleetControl} from './create-fleet-control.ts';
+import {createFleetController} from './create-fleet-controller.ts';
 import {createGateway} from './create-gateway.ts';
 import {createGateways} from './create-gateways.ts';
 import {createHostKnowledge} from './create-host-knowledge.ts';
@@ -87,7 +87,7 @@
 		return peer;
 	};
 
-	const control = createFleetControl({
+	const control = createFleetController({
 		own,
 		store,
 		listGateways: instance => gateways.list(instance, undefined),
