--- a/packages/sessions/create-source-choice.ts
+++ b/packages/sessions/create-source-selector.ts
@@ -12,22 +12,22 @@
 };
 
 /** From which host this one learns what the store holds, and which it leaves alone for a while. */
-type SourceChoice = {
+type SourceSelector = {
 	/** The present source; this host itself when it is to read the store. */
 	readonly choose: () => string;
 	/** Takes note that a source did not know enough. */
-	readonly avoid: (source: string) => void;
+	readonly backOff: (source: string) => void;
 	/** Takes note that a source knew enough. */
-	readonly approve: (source: string) => void;
+	readonly resetBackoff: (source: string) => void;
 };
 
 /** Milliseconds for which a source that does not know enough is not asked: the first time, and at the most. */
 const avoidance = {first: 2000, last: 10_000};
 
 /** Creates a host's choice of a source; see `chooseSource`. */
-export function createSourceChoice({
+export function createSourceSelector({
 	self, zone, listHosts, now, log,
-}: Options): SourceChoice {
+}: Options): SourceSelector {
 	const avoidedUntil = new Map<string, number>();
 	/** For how long sources were avoided last; forgotten once they know enough. */
 	const lastSpans = new Map<string, number>();
@@ -45,13 +45,13 @@
 
 			return source;
 		},
-		avoid(source) {
+		backOff(source) {
 			const span = Math.min(avoidance.last, (lastSpans.get(source) ?? avoidance.first / 2) * 2);
 			lastSpans.set(source, span);
 			avoidedUntil.set(source, now().steady + span);
 			log.info({source, span}, 'store: A source that does not know enough is not asked for a while.');
 		},
-		approve(source) {
+		resetBackoff(source) {
 			lastSpans.delete(source);
 		},
 	};
--- a/packages/sessions/create-table-reader.ts
+++ b/packages/sessions/create-table-reader.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {AskedTable} from './asked-table.ts';
 import {createPeerTable} from './create-peer-table.ts';
-import {createSourceChoice} from './create-source-choice.ts';
+import {createSourceSelector} from './create-source-selector.ts';
 import {createStoreFollower} from './create-store-follower.ts';
 import {createTableKnowledge} from './create-table-knowledge.ts';
 import {findRenewal} from './find-renewal.ts';
@@ -79,7 +79,7 @@
 	const follower = createStoreFollower({
 		self, store, knowledge, now, log,
 	});
-	const sources = createSourceChoice(options);
+	const sources = createSourceSelector(options);
 
 	/** Whether all hosts are only just starting, and those that are to read have not told anything yet. */
 	const isStarting = () => options.isFirstStart && !hasLearned && now().steady - startedAt < startPatience;
@@ -184,10 +184,10 @@
 		follower.start();
 		if (now().steady > findReadEnd()) {
 			if (knowledge.findFreshLeft(ageLimits) <= 0) {
-				sources.avoid(self);
+				sources.backOff(self);
 			} else {
 				hasLearned = true;
-				sources.approve(self);
+				sources.resetBackoff(self);
 			}
 		}
 
@@ -197,13 +197,13 @@
 	const stepPolled = async (source: string) => {
 		if (await poll(source)) {
 			hasLearned = true;
-			sources.approve(source);
+			sources.resetBackoff(source);
 			follower.stop();
 			await sleep(stepInterval);
 		} else if (isStarting()) {
 			await sleep(stepInterval);
 		} else {
-			sources.avoid(source);
+			sources.backOff(source);
 		}
 	};
 
