--- a/packages/sessions/create-rate-home.ts
+++ b/packages/sessions/create-rate-home.ts
@@ -1,5 +1,5 @@
 import {assignRates} from './assign-rates.ts';
-import {findLeaseLeft} from './find-lease-left.ts';
+import {findLeaseRemaining} from './find-lease-remaining.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {Instant} from './instant.ts';
@@ -51,7 +51,7 @@
 
 	const hasHomeLease = () => {
 		const proof = options.findFleetProof();
-		return isHome() && proof !== undefined && findLeaseLeft(proof, now()) > 0;
+		return isHome() && proof !== undefined && findLeaseRemaining(proof, now()) > 0;
 	};
 
 	const claimRates: Home['claimRates'] = async ({host, epoch, claims}) => {
--- a/packages/sessions/find-fence-left.ts
+++ b/packages/sessions/find-fence-remaining.ts
@@ -1,4 +1,4 @@
-import {findLeaseLeft} from './find-lease-left.ts';
+import {findLeaseRemaining} from './find-lease-remaining.ts';
 import type {Instant} from './instant.ts';
 
 /** A fence, and the hosts that may still use the old primary. */
@@ -13,6 +13,6 @@
 const leaseMargin = 150;
 
 /** Finds the milliseconds until no host can use the old primary any more; 0 or less when that is so. */
-export function findFenceLeft({at, open}: Raised, now: Instant): number {
-	return open.size === 0 ? 0 : findLeaseLeft(at, now) + leaseMargin;
+export function findFenceRemaining({at, open}: Raised, now: Instant): number {
+	return open.size === 0 ? 0 : findLeaseRemaining(at, now) + leaseMargin;
 }
--- a/packages/sessions/find-primary.ts
+++ b/packages/sessions/find-primary.ts
@@ -1,4 +1,4 @@
-import {findLeaseLeft} from './find-lease-left.ts';
+import {findLeaseRemaining} from './find-lease-remaining.ts';
 import type {GroupRow} from './group-row.ts';
 import type {Instant} from './instant.ts';
 import type {PrimaryView} from './primary-view.ts';
@@ -33,7 +33,7 @@
 		return {kind: 'unavailable', reason: 'fencing', retryAfter: Math.max(usualProof, usualReplacement - elapsed)};
 	}
 
-	const left = findLeaseLeft(provenAt, now);
+	const left = findLeaseRemaining(provenAt, now);
 	return left > 0
 		? {kind: 'leased', instance: row.primary, epoch: row.epoch}
 		: {kind: 'unavailable', reason: 'lapsed', retryAfter: -left < usualProof ? usualProof : longOutage};
--- a/packages/sessions/lease-model.test.ts
+++ b/packages/sessions/lease-model.test.ts
@@ -1,7 +1,7 @@
 import process from 'node:process';
 import {expect} from 'chai';
 import fc from 'fast-check';
-import {findFenceLeft} from './find-fence-left.ts';
+import {findFenceRemaining} from './find-fence-remaining.ts';
 import {findPrimary} from './find-primary.ts';
 import type {GroupRow} from './group-row.ts';
 import type {Instant} from './instant.ts';
@@ -110,7 +110,7 @@
 			}
 		}
 
-		const isOver = findFenceLeft({at: {steady: fencedAt, wall: fencedAt}, open}, {steady: now, wall: now}) <= 0;
+		const isOver = findFenceRemaining({at: {steady: fencedAt, wall: fencedAt}, open}, {steady: now, wall: now}) <= 0;
 		if (now > fencedAt && promotedAt === undefined && (left === 'waiting' || isOver)) {
 			promotedAt = now;
 		}
--- a/packages/sessions/wait-for-hosts.ts
+++ b/packages/sessions/wait-for-hosts.ts
@@ -1,7 +1,7 @@
 /* eslint-disable no-await-in-loop -- rounds follow each other */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Fence} from './fence.ts';
-import {findFenceLeft} from './find-fence-left.ts';
+import {findFenceRemaining} from './find-fence-remaining.ts';
 import type {Failover} from './failover.ts';
 
 /** Milliseconds between two rounds of questions to hosts. */
@@ -17,7 +17,7 @@
 	group.fence(row.epoch);
 	const open = new Set([...hosts, ...listRecentHosts()].map(({name}) => name));
 	open.delete(self);
-	const findLeft = () => findFenceLeft({at, open}, now());
+	const findLeft = () => findFenceRemaining({at, open}, now());
 	while (findLeft() > 0) {
 		const round = Promise.all([...open].map(async name => {
 			const isFenced = await findPeer(name)?.fenceGroup(group.name, row.epoch);
