--- a/packages/sessions/proof-period.ts
+++ b/packages/sessions/confirm-interval-ms.ts
@@ -1,2 +1,2 @@
 /** Milliseconds between two moments at which the store confirms to the host that reads it that nothing has changed. */
-export const proofPeriod = 1000;
+export const confirmIntervalMs = 1000;
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -60,7 +60,7 @@
 	let wantedAt = Number.NEGATIVE_INFINITY;
 
 	const primary = () => findPrimary({
-		row: row !== undefined && row.epoch < fencedEpoch ? {...row, state: 'fencing'} : row, provenAt, fencedAt, isRegistered,
+		row: row !== undefined && row.epoch < fencedEpoch ? {...row, state: 'fencing'} : row, confirmedAt: provenAt, fencedAt, isRegistered,
 	}, now());
 
 	const wake = () => {
--- a/packages/sessions/create-store-follower.ts
+++ b/packages/sessions/create-store-follower.ts
@@ -2,7 +2,7 @@
 import {findAlignedWait} from './find-aligned-wait.ts';
 import {followTable} from './follow-table.ts';
 import type {Instant} from './instant.ts';
-import {proofPeriod} from './proof-period.ts';
+import {confirmIntervalMs} from './confirm-interval-ms.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 import type {StoreTable} from './store-table.ts';
@@ -25,7 +25,7 @@
 };
 
 /** Milliseconds that calls which follow the tables may wait for changes. */
-const followWaits = {configuration: proofPeriod, fleet: proofPeriod, instances: 4 * proofPeriod} as const satisfies Record<StoreTable, number>;
+const followWaits = {configuration: confirmIntervalMs, fleet: confirmIntervalMs, instances: 4 * confirmIntervalMs} as const satisfies Record<StoreTable, number>;
 
 /** Creates what follows the store's tables. */
 export function createStoreFollower({
@@ -47,7 +47,7 @@
 					store,
 					table,
 					reader: self,
-					findWait: at => findAlignedWait({period: proofPeriod, most: followWaits[table], now: at}),
+					findWait: at => findAlignedWait({period: confirmIntervalMs, most: followWaits[table], now: at}),
 					now,
 					known: knowledge.findTable(table),
 					onTable(newer) {
--- a/packages/sessions/find-proof.test.ts
+++ b/packages/sessions/find-confirmed-at.test.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
-import {findProof} from './find-proof.ts';
+import {findConfirmedAt} from './find-confirmed-at.ts';
 import type {Instant} from './instant.ts';
 
 const at = (steady: number, wall = steady): Instant => ({steady, wall});
 
-describe('findProof', () => {
+describe('findConfirmedAt', () => {
 	const clock = {store: 1000, notAfter: at(0)};
 	const cases = [
 		{
@@ -30,7 +30,7 @@
 		name, clock: known, sentAt, answeredAt, storeNow, expected,
 	} of cases) {
 		it(name, () => {
-			expect(findProof(known, {sentAt, answeredAt, storeNow}).provenAt).to.deep.equal(expected);
+			expect(findConfirmedAt(known, {sentAt, answeredAt, storeNow}).confirmedAt).to.deep.equal(expected);
 		});
 	}
 });
--- a/packages/sessions/find-proof.ts
+++ b/packages/sessions/find-confirmed-at.ts
@@ -26,17 +26,17 @@
  * @param call The call and its answer.
  * @returns The moment, and the reading to keep.
  */
-export function findProof(clock: StoreClock | undefined, call: AnsweredCall): {readonly provenAt: Instant; readonly clock: StoreClock | undefined} {
+export function findConfirmedAt(clock: StoreClock | undefined, call: AnsweredCall): {readonly confirmedAt: Instant; readonly clock: StoreClock | undefined} {
 	const {sentAt, answeredAt, storeNow} = call;
 	const isShort = findElapsed(sentAt, answeredAt) <= shortCall;
 	const fresh = isShort ? {store: storeNow, notAfter: sentAt} : undefined;
 	if (clock === undefined || fresh !== undefined || !isTrusted(clock, answeredAt)) {
-		return {provenAt: sentAt, clock: fresh};
+		return {confirmedAt: sentAt, clock: fresh};
 	}
 
 	const elapsed = storeNow - clock.store;
 	return {
-		provenAt: {
+		confirmedAt: {
 			steady: clampBetween(clock.notAfter.steady + elapsed, sentAt.steady, answeredAt.steady),
 			wall: clampBetween(clock.notAfter.wall + elapsed, sentAt.wall, answeredAt.wall),
 		},
--- a/packages/sessions/find-lease-remaining.ts
+++ b/packages/sessions/find-lease-remaining.ts
@@ -9,6 +9,6 @@
 const leaseSpan = 2500;
 
 /** Finds the milliseconds that a lease on a primary still lasts; 0 or less when it has lapsed. */
-export function findLeaseRemaining(provenAt: Instant, now: Instant): number {
-	return leaseSpan - findElapsed(provenAt, now);
+export function findLeaseRemaining(confirmedAt: Instant, now: Instant): number {
+	return leaseSpan - findElapsed(confirmedAt, now);
 }
--- a/packages/sessions/find-primary.test.ts
+++ b/packages/sessions/find-primary.test.ts
@@ -33,7 +33,7 @@
 	for (const {name, known, now, expected} of cases) {
 		it(name, () => {
 			const view = findPrimary({
-				provenAt: at(0), fencedAt: undefined, isRegistered: true, ...known,
+				confirmedAt: at(0), fencedAt: undefined, isRegistered: true, ...known,
 			}, now);
 			expect(view.kind === 'leased' ? view.kind : view.reason).to.equal(expected);
 		});
@@ -41,7 +41,7 @@
 
 	it('says that an outage may last when the lease lapsed long ago', () => {
 		const view = findPrimary({
-			row, provenAt: at(0), fencedAt: undefined, isRegistered: true,
+			row, confirmedAt: at(0), fencedAt: undefined, isRegistered: true,
 		}, at(6000));
 		expect(view).to.deep.equal({kind: 'unavailable', reason: 'lapsed', retryAfter: 2000});
 	});
--- a/packages/sessions/find-primary.ts
+++ b/packages/sessions/find-primary.ts
@@ -6,7 +6,7 @@
 type Known = {
 	readonly row: GroupRow | undefined;
 	/** Moment as of which the row is known. */
-	readonly provenAt: Instant | undefined;
+	readonly confirmedAt: Instant | undefined;
 	/** Steady milliseconds since when a successor is being made, as seen here. */
 	readonly fencedAt: number | undefined;
 	/** Whether this host is registered in the store, so that a fence waits for it. */
@@ -23,7 +23,7 @@
 const longOutage = 2000;
 
 /** Finds whether the primary of a group may be used now. */
-export function findPrimary({row, provenAt, fencedAt, isRegistered}: Known, now: Instant): PrimaryView {
+export function findPrimary({row, confirmedAt: provenAt, fencedAt, isRegistered}: Known, now: Instant): PrimaryView {
 	if (row === undefined || provenAt === undefined || !isRegistered) {
 		return {kind: 'unavailable', reason: 'unknown', retryAfter: usualProof};
 	}
--- a/packages/sessions/follow-table.ts
+++ b/packages/sessions/follow-table.ts
@@ -1,7 +1,7 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {findElapsed} from './find-elapsed.ts';
-import {findProof} from './find-proof.ts';
+import {findConfirmedAt} from './find-confirmed-at.ts';
 import {findTableMark} from './find-table-mark.ts';
 import type {Instant} from './instant.ts';
 import type {KnownTable} from './known-table.ts';
@@ -77,14 +77,14 @@
 		}
 
 		const {rows, version} = outcome.value;
-		const proof = findProof(clock, outcome.value);
+		const proof = findConfirmedAt(clock, outcome.value);
 		({clock} = proof);
 		const merged = known !== undefined && isWhole && rows.length === 0 ? known.rows : applyRows(isWhole ? known?.rows : undefined, rows);
 		known = {
 			rows: merged,
 			version,
 			mark: merged === known?.rows ? known.mark : findTableMark(merged),
-			provenAt: proof.provenAt,
+			provenAt: proof.confirmedAt,
 			reader,
 		};
 		isWhole = true;
--- a/packages/sessions/is-sample-due.ts
+++ b/packages/sessions/is-sample-due.ts
@@ -1,4 +1,4 @@
-import {proofPeriod} from './proof-period.ts';
+import {confirmIntervalMs} from './confirm-interval-ms.ts';
 
 type Options = {
 	/** Milliseconds since the primary was last known to be asked for its position. */
@@ -27,6 +27,6 @@
 		return isWanted && age >= toldInterval;
 	}
 
-	const isAboutToTell = now % proofPeriod >= lastPart * proofPeriod;
+	const isAboutToTell = now % confirmIntervalMs >= lastPart * confirmIntervalMs;
 	return age >= readingInterval || (isAboutToTell && age >= leastAge);
 }
--- a/packages/sessions/lease-model.test.ts
+++ b/packages/sessions/lease-model.test.ts
@@ -101,7 +101,7 @@
 			const clocks = readClocks(plan, now);
 			const view = findPrimary({
 				row: host.isFenced && host.row !== undefined ? {...host.row, state: 'fencing'} : host.row,
-				provenAt: host.provenAt,
+				confirmedAt: host.provenAt,
 				fencedAt: undefined,
 				isRegistered: host.provenAt !== undefined,
 			}, left === 'wallClock' && host.provenAt !== undefined ? {...clocks, wall: host.provenAt.wall} : clocks);
