--- a/packages/hosts/create-fleet-peer.ts
+++ b/packages/hosts/create-fleet-peer.ts
@@ -69,7 +69,7 @@
 				value: {tables: [...asked].map(([table, {mark, age}]) => ({table, ageMs: age, ...mark && {mark: encodeMark(mark)}})), waitMs: wait},
 			}, wait);
 			return answer?.case === 'readTables'
-				? {tables: decodeTables(answer.value), positions: decodePositions(answer.value), waited: answer.value.waitedMs}
+				? {tables: decodeTables(answer.value), positions: decodePositions(answer.value), waitedMs: answer.value.waitedMs}
 				: undefined;
 		},
 		async claimRates({
--- a/packages/hosts/serve-fleet.ts
+++ b/packages/hosts/serve-fleet.ts
@@ -38,7 +38,7 @@
 	switch (call.case) {
 		case 'readTables': {
 			const asked = new Map(call.value.tables.map(({table, mark, ageMs}) => [table as StoreTable, {mark: mark && decodeMark(mark), age: ageMs}]));
-			const {tables = [], positions = [], waited = 0} = await own.readTables(asked, call.value.waitMs) ?? {};
+			const {tables = [], positions = [], waitedMs: waited = 0} = await own.readTables(asked, call.value.waitMs) ?? {};
 			return {
 				case: call.case,
 				value: {
--- a/packages/sessions/apply-observation.test.ts
+++ b/packages/sessions/apply-observation.test.ts
@@ -2,7 +2,7 @@
 import {applyObservation} from './apply-observation.ts';
 
 const calm = {
-	latency: 30, heardAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
+	latency: 30, lastAnswerAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lastLag: undefined,
 };
 const failed = {...calm, failures: 2, avoidedUntil: 500};
 
--- a/packages/sessions/apply-observation.ts
+++ b/packages/sessions/apply-observation.ts
@@ -6,7 +6,7 @@
 	| {readonly kind: 'sent'}
 	/** `latency` in milliseconds counts only for statements that took a slot. */
 	| {readonly kind: 'answered'; readonly latency: number | undefined; readonly position: LogPoint | undefined}
-	| {readonly kind: 'lagging'; readonly lacks: LogPoint}
+	| {readonly kind: 'lagging'; readonly missingPosition: LogPoint}
 	/** A connection was lost or could not be opened, or an answer did not come in time. */
 	| {readonly kind: 'failed'};
 
@@ -35,7 +35,7 @@
 			return {
 				...health,
 				latency: seen.latency === undefined ? health.latency : (health.latency * (1 - latencyWeight)) + (seen.latency * latencyWeight),
-				heardAt: now,
+				lastAnswerAt: now,
 				unansweredSince: undefined,
 				avoidedUntil: 0,
 				failures: 0,
@@ -44,7 +44,7 @@
 		}
 
 		case 'lagging': {
-			return {...health, lagged: {at: now, lacks: seen.lacks}};
+			return {...health, lastLag: {at: now, missingPosition: seen.missingPosition}};
 		}
 
 		case 'failed': {
--- a/packages/sessions/settle-span.ts
+++ b/packages/sessions/bootstrap-settle-ms.ts
@@ -1,2 +1,2 @@
 /** Milliseconds in which all hosts of a fleet register that starts for the first time, so that each knows who does what. */
-export const settleSpan = 600;
+export const bootstrapSettleMs = 600;
--- a/packages/sessions/choose-target.ts
+++ b/packages/sessions/choose-target.ts
@@ -1,6 +1,6 @@
 import type {Operation} from './operation.ts';
 import type {Target} from './target.ts';
-import {waitForUsefulPrimary} from './wait-for-useful-primary.ts';
+import {waitForExpectedPrimary} from './wait-for-expected-primary.ts';
 
 type Options = {
 	/** Whether a replica may serve it, because it only reads. */
@@ -23,7 +23,7 @@
 		}
 	}
 
-	const view = await waitForUsefulPrimary(operation, left);
+	const view = await waitForExpectedPrimary(operation, left);
 	const instance = view.kind === 'leased' ? group.findInstance(view.instance) : undefined;
 	return view.kind === 'leased' && instance !== undefined ? {instance, after: undefined, epoch: view.epoch} : undefined;
 }
--- a/packages/sessions/create-fleet-controller.ts
+++ b/packages/sessions/create-fleet-controller.ts
@@ -1,6 +1,6 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {rankHosts} from '@sapphirefall/decisions';
-import {firstDelay} from './first-delay.ts';
+import {bootstrapStaggerMs} from './bootstrap-stagger-ms.ts';
 import type {FleetController} from './fleet-controller.ts';
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetPeer} from './fleet-peer.ts';
@@ -18,7 +18,7 @@
 import type {FailoverReason} from './failover-reason.ts';
 import type {SessionGroup} from './session-group.ts';
 import type {SessionLog} from './session-log.ts';
-import {settleSpan} from './settle-span.ts';
+import {bootstrapSettleMs} from './bootstrap-settle-ms.ts';
 import type {Store} from './store.ts';
 import type {Versioned} from './versioned.ts';
 
@@ -72,7 +72,7 @@
 	/** Milliseconds for which this host leaves it to others to name a group's first primary. */
 	const findFirstDelay = (group: string) => {
 		const place = rankHosts(`first/${group}`, [...fleet?.hosts.keys() ?? []]).indexOf(own.name);
-		return settleSpan + (Math.max(0, place) * firstDelay);
+		return bootstrapSettleMs + (Math.max(0, place) * bootstrapStaggerMs);
 	};
 
 	const isRegistered = () => fleet?.hosts.get(own.name)?.incarnation === own.incarnation;
@@ -114,7 +114,7 @@
 			return false;
 		}
 
-		const {heardAt, unansweredSince} = instance.health();
+		const {lastAnswerAt: heardAt, unansweredSince} = instance.health();
 		const at = now().steady;
 		if (unansweredSince !== undefined && at - unansweredSince > confirmTimeout) {
 			return true;
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -32,7 +32,7 @@
 }: Options): InstanceRuntime {
 	let listed = first;
 	let health: InstanceHealth = {
-		latency: presumedLatency, heardAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
+		latency: presumedLatency, lastAnswerAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lastLag: undefined,
 	};
 
 	const note = (seen: Parameters<typeof applyObservation>[1]['seen']) => {
@@ -92,7 +92,7 @@
 		pool,
 		send,
 		noteLag(lacks) {
-			note({kind: 'lagging', lacks});
+			note({kind: 'lagging', missingPosition: lacks});
 		},
 	};
 }
--- a/packages/sessions/create-rate-shares.ts
+++ b/packages/sessions/create-rate-shares.ts
@@ -6,7 +6,7 @@
 import {findElapsed} from './find-elapsed.ts';
 import {findHeldRate} from './find-held-rate.ts';
 import {findRateHomePlace} from './find-rate-home-place.ts';
-import {firstDelay} from './first-delay.ts';
+import {bootstrapStaggerMs} from './bootstrap-stagger-ms.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {HomeRow} from './home-row.ts';
@@ -157,7 +157,7 @@
 		const place = Math.min(lastPlace, findRateHomePlace({
 			self, partition, hosts: [...rows.hosts.keys()], lost: row?.holder,
 		}));
-		return now().steady - since > (row === undefined ? place * firstDelay : homeSilence + (place * placeDelay));
+		return now().steady - since > (row === undefined ? place * bootstrapStaggerMs : homeSilence + (place * placeDelay));
 	};
 
 	const logRefusal = (workspace: string, limits: WorkspaceLimits) => {
--- a/packages/sessions/create-store-follower.ts
+++ b/packages/sessions/create-store-follower.ts
@@ -47,7 +47,7 @@
 					store,
 					table,
 					reader: self,
-					findWait: at => findAlignedWait({period: confirmIntervalMs, most: followWaits[table], now: at}),
+					findWait: at => findAlignedWait({intervalMs: confirmIntervalMs, maxWaitMs: followWaits[table], now: at}),
 					now,
 					known: knowledge.findTable(table),
 					onTable(newer) {
--- a/packages/sessions/create-table-reader.ts
+++ b/packages/sessions/create-table-reader.ts
@@ -15,7 +15,7 @@
 import {mergePeerTable} from './merge-peer-table.ts';
 import type {PositionOfAge} from './position-of-age.ts';
 import type {SessionLog} from './session-log.ts';
-import {settleSpan} from './settle-span.ts';
+import {bootstrapSettleMs} from './bootstrap-settle-ms.ts';
 import type {Store} from './store.ts';
 import type {StoreTable} from './store-table.ts';
 import type {TableReader} from './table-reader.ts';
@@ -131,7 +131,7 @@
 		}
 
 		// The other host got the question after it was sent, and answered so much later at the least.
-		const answeredAfter = {steady: sentAt.steady + answer.waited, wall: sentAt.wall + answer.waited};
+		const answeredAfter = {steady: sentAt.steady + answer.waitedMs, wall: sentAt.wall + answer.waitedMs};
 		for (const told of answer.tables) {
 			const older = knowledge.findTable(told.table);
 			if (older !== undefined && told.version < older.version) {
@@ -172,7 +172,7 @@
 	const startUp = async () => {
 		await options.register();
 		if (options.isFirstStart) {
-			await sleep(settleSpan);
+			await sleep(bootstrapSettleMs);
 			await readWhole('fleet');
 		} else {
 			await Promise.all(tables.map(async table => readWhole(table)));
@@ -222,7 +222,7 @@
 			await waitForAsker(asked, wait);
 			const at = now();
 			return {
-				waited: Math.max(0, at.steady - askedAt.steady),
+				waitedMs: Math.max(0, at.steady - askedAt.steady),
 				tables: knowledge.list().map(([table, known]) => createPeerTable(table, {known, asked: asked.get(table), now: at})),
 				positions: options.listPositions(),
 			};
--- a/packages/sessions/find-aligned-wait.test.ts
+++ b/packages/sessions/find-aligned-wait.test.ts
@@ -21,7 +21,7 @@
 	];
 	for (const {name, now, most, expected} of cases) {
 		it(`ends ${name} with the others`, () => {
-			expect(findAlignedWait({period: 1000, most, now})).to.equal(expected);
+			expect(findAlignedWait({intervalMs: 1000, maxWaitMs: most, now})).to.equal(expected);
 		});
 	}
 });
--- a/packages/sessions/find-aligned-wait.ts
+++ b/packages/sessions/find-aligned-wait.ts
@@ -1,8 +1,8 @@
 type Options = {
 	/** Milliseconds between two moments at which calls end. */
-	readonly period: number;
+	readonly intervalMs: number;
 	/** Milliseconds that the call may last at the most. */
-	readonly most: number;
+	readonly maxWaitMs: number;
 	/** Steady milliseconds. */
 	readonly now: number;
 };
@@ -16,7 +16,7 @@
  *
  * @returns Whole milliseconds, as calls to the store take no others.
  */
-export function findAlignedWait({period, most, now}: Options): number {
+export function findAlignedWait({intervalMs: period, maxWaitMs: most, now}: Options): number {
 	const left = period - (now % period);
 	const aligned = left < period * leastPart ? left + period : left;
 	const more = Math.floor(Math.max(0, most - aligned) / period) * period;
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -12,7 +12,7 @@
 	readonly tables: readonly PeerTable[];
 	readonly positions: readonly PositionOfAge[];
 	/** Milliseconds that the other host waited for a change before it answered; ages count from then. */
-	readonly waited: number;
+	readonly waitedMs: number;
 };
 
 /** Claims of a host to shares of the rates. */
--- a/packages/sessions/instance-health.ts
+++ b/packages/sessions/instance-health.ts
@@ -5,7 +5,7 @@
 	/** Smoothed milliseconds from request to answer. */
 	readonly latency: number;
 	/** When an answer last came. */
-	readonly heardAt: number;
+	readonly lastAnswerAt: number;
 	/** When something was first sent that is not answered yet; undefined while nothing is. */
 	readonly unansweredSince: number | undefined;
 	/** Until when the instance is used only if no other can be. */
@@ -15,5 +15,5 @@
 	/** Newest position that its log is known to hold. */
 	readonly position: LogPoint | undefined;
 	/** When it last said that it lacks a position, and which. */
-	readonly lagged: {readonly at: number; readonly lacks: LogPoint} | undefined;
+	readonly lastLag: {readonly at: number; readonly missingPosition: LogPoint} | undefined;
 };
--- a/packages/sessions/rank-readers.test.ts
+++ b/packages/sessions/rank-readers.test.ts
@@ -4,7 +4,7 @@
 
 const point = (position: number) => ({term: 1, position: BigInt(position)});
 const health = {
-	latency: 30, heardAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
+	latency: 30, lastAnswerAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lastLag: undefined,
 };
 const replica: ReadCandidate = {
 	id: 'replica', isLocal: true, isPrimary: false, health, load: 0,
@@ -19,9 +19,9 @@
 		{name: 'leaves the own zone when its connections are full', given: [{...replica, load: 3}, remote], expected: 'remote'},
 		{name: 'avoids an instance that failed a moment ago', given: [{...replica, health: {...health, avoidedUntil: 200}}, remote], expected: 'remote'},
 		{name: 'avoids an instance that answers nothing, as when it went dark', given: [{...replica, health: {...health, unansweredSince: -200}}, remote], expected: 'remote'},
-		{name: 'avoids a replica that lacked an older position a moment ago', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'primary'},
-		{name: 'tries a replica again that lacked a newer position', given: [{...replica, health: {...health, lagged: {at: 90, lacks: point(50)}}}, primary], expected: 'replica'},
-		{name: 'trusts what a replica has shown since', given: [{...replica, health: {...health, position: point(10), lagged: {at: 90, lacks: point(5)}}}, primary], expected: 'replica'},
+		{name: 'avoids a replica that lacked an older position a moment ago', given: [{...replica, health: {...health, lastLag: {at: 90, missingPosition: point(5)}}}, primary], expected: 'primary'},
+		{name: 'tries a replica again that lacked a newer position', given: [{...replica, health: {...health, lastLag: {at: 90, missingPosition: point(50)}}}, primary], expected: 'replica'},
+		{name: 'trusts what a replica has shown since', given: [{...replica, health: {...health, position: point(10), lastLag: {at: 90, missingPosition: point(5)}}}, primary], expected: 'replica'},
 	];
 	for (const {name, given, expected} of cases) {
 		it(name, () => {
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -47,10 +47,10 @@
 	return cost;
 }
 
-function isBehind({lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
+function isBehind({lastLag: lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
 	if (lagged === undefined || now - lagged.at > lagMemory) {
 		return false;
 	}
 
-	return comparePoints(required, lagged.lacks) >= 0 && (position === undefined || comparePoints(position, required) < 0);
+	return comparePoints(required, lagged.missingPosition) >= 0 && (position === undefined || comparePoints(position, required) < 0);
 }
--- a/packages/sessions/run-write.ts
+++ b/packages/sessions/run-write.ts
@@ -9,7 +9,7 @@
 import type {Operation} from './operation.ts';
 import type {PrimaryView} from './primary-view.ts';
 import type {StatementOutcome} from './statement-outcome.ts';
-import {waitForUsefulPrimary} from './wait-for-useful-primary.ts';
+import {waitForExpectedPrimary} from './wait-for-expected-primary.ts';
 import type {Work} from './work.ts';
 
 /** Milliseconds between two tries of a write that did not run. */
@@ -33,7 +33,7 @@
 			break;
 		}
 
-		const view = await waitForUsefulPrimary(operation, left);
+		const view = await waitForExpectedPrimary(operation, left);
 		if (view.kind !== 'leased') {
 			operation.trace.addStep(`no primary (${view.reason})`);
 			return createBusy(`The group has no primary now (${view.reason})`, view.retryAfter);
--- a/packages/sessions/wait-for-useful-primary.ts
+++ b/packages/sessions/wait-for-expected-primary.ts
@@ -2,7 +2,7 @@
 import type {PrimaryView} from './primary-view.ts';
 
 /** Waits for the primary of an operation's group only if it should be there within `limit` milliseconds. */
-export async function waitForUsefulPrimary({group, context, trace}: Pick<Operation, 'group' | 'context' | 'trace'>, limit: number): Promise<PrimaryView> {
+export async function waitForExpectedPrimary({group, context, trace}: Pick<Operation, 'group' | 'context' | 'trace'>, limit: number): Promise<PrimaryView> {
 	const view = group.primary();
 	if (view.kind === 'leased' || view.retryAfter > limit) {
 		return view;
