--- a/packages/sessions/fence.ts
+++ b/packages/sessions/fence.ts
@@ -3,10 +3,11 @@
 import type {Instant} from './instant.ts';
 import type {Versioned} from './versioned.ts';
 
-/** The fence as it stands in the store. */
+/** A fence on a group's primary, as the store holds it. */
 export type Fence = {
 	readonly row: Versioned<GroupRow>;
+	/** Hosts that may hold a lease on the primary. */
 	readonly hosts: readonly HostRow[];
-	/** When the store had the fence at the latest. */
+	/** Latest moment at which the store can have applied the fence. */
 	readonly at: Instant;
 };
--- a/packages/sessions/find-confirmed-at.test.ts
+++ b/packages/sessions/find-confirmed-at.test.ts
@@ -8,22 +8,22 @@
 	const clock = {store: 1000, notAfter: at(0)};
 	const cases = [
 		{
-			name: 'a first call proves when it was sent', clock: undefined, sentAt: at(10), answeredAt: at(20), storeNow: 5, expected: at(10),
+			name: 'a first call confirms up to when it was sent', clock: undefined, sentAt: at(10), answeredAt: at(20), storeNow: 5, expected: at(10),
 		},
 		{
-			name: 'a call that waited proves nearly when it was answered', clock, sentAt: at(100), answeredAt: at(1110), storeNow: 2100, expected: at(1100),
+			name: 'a long poll confirms almost up to its answer', clock, sentAt: at(100), answeredAt: at(1110), storeNow: 2100, expected: at(1100),
 		},
 		{
-			name: 'a proof is never later than the answer', clock, sentAt: at(100), answeredAt: at(1110), storeNow: 9000, expected: at(1110),
+			name: 'the moment is never later than the answer', clock, sentAt: at(100), answeredAt: at(1110), storeNow: 9000, expected: at(1110),
 		},
 		{
-			name: 'a proof is never earlier than the call', clock, sentAt: at(1000), answeredAt: at(1200), storeNow: 1100, expected: at(1000),
+			name: 'the moment is never earlier than the call', clock, sentAt: at(1000), answeredAt: at(1200), storeNow: 1100, expected: at(1000),
 		},
 		{
-			name: 'a wall clock that jumped makes the reading worthless', clock, sentAt: at(100), answeredAt: at(1110, 3510), storeNow: 2100, expected: at(100),
+			name: 'a jump of the wall clock invalidates the reading', clock, sentAt: at(100), answeredAt: at(1110, 3510), storeNow: 2100, expected: at(100),
 		},
 		{
-			name: 'a steady clock that stood still makes the reading worthless', clock, sentAt: at(100), answeredAt: at(400, 3400), storeNow: 4400, expected: at(100),
+			name: 'a steady clock that stopped invalidates the reading', clock, sentAt: at(100), answeredAt: at(400, 3400), storeNow: 4400, expected: at(100),
 		},
 	];
 	for (const {
--- a/packages/sessions/find-confirmed-at.ts
+++ b/packages/sessions/find-confirmed-at.ts
@@ -2,35 +2,36 @@
 import type {Instant} from './instant.ts';
 import type {StoreClock} from './store-clock.ts';
 
-/** A call to the store that was answered. */
+/** The timing of a call to the store that was answered. */
 type AnsweredCall = {
 	readonly sentAt: Instant;
 	readonly answeredAt: Instant;
-	/** Milliseconds of the store's steady clock at its answer. */
+	/** Reading of the store's steady clock when it answered, in milliseconds. */
 	readonly storeNow: number;
 };
 
-/** Milliseconds; a call that takes longer says too little about when the store read its clock. */
-const shortCall = 150;
+/** Milliseconds; a call that takes longer is too imprecise about when the store read its clock. */
+const maxReadingCallMs = 150;
 
-/** Milliseconds by which both clocks may differ before a reading is no longer trusted. */
-const clockTolerance = 100;
+/** Milliseconds by which the two clocks of this host may have drifted apart before a reading is no longer used. */
+const maxClockDriftMs = 100;
 
 /**
- * Finds the latest moment as of which an answer of the store is known to hold.
+ * Finds the latest moment as of which an answer of the store is known to be current.
  *
- * Without a reading of the store's clock that is the moment at which the call was sent. With one, the store's
- * clock tells how much later it answered: a call that waited for changes then proves nearly the present.
+ * Without an earlier reading of the store's clock this is when the call was sent. With one, the time that has passed on
+ * the store's clock since that reading tells when the store answered, so a long poll confirms its answer almost up to
+ * the moment at which the answer arrived.
  *
- * @param clock The last reading, if any.
- * @param call The call and its answer.
- * @returns The moment, and the reading to keep.
+ * @param clock The previous reading of the store's clock, if any.
+ * @param call The timing of the call.
+ * @returns The moment, and the reading to pass to the next call.
  */
 export function findConfirmedAt(clock: StoreClock | undefined, call: AnsweredCall): {readonly confirmedAt: Instant; readonly clock: StoreClock | undefined} {
 	const {sentAt, answeredAt, storeNow} = call;
-	const isShort = findElapsed(sentAt, answeredAt) <= shortCall;
-	const fresh = isShort ? {store: storeNow, notAfter: sentAt} : undefined;
-	if (clock === undefined || fresh !== undefined || !isTrusted(clock, answeredAt)) {
+	const isPrecise = findElapsed(sentAt, answeredAt) <= maxReadingCallMs;
+	const fresh = isPrecise ? {store: storeNow, notAfter: sentAt} : undefined;
+	if (clock === undefined || fresh !== undefined || !isUsable(clock, answeredAt)) {
 		return {confirmedAt: sentAt, clock: fresh};
 	}
 
@@ -44,11 +45,11 @@
 	};
 }
 
-/** Whether both clocks have run alike since the reading. */
-function isTrusted({notAfter}: StoreClock, now: Instant): boolean {
+/** Checks whether both clocks of this host have advanced alike since the reading. */
+function isUsable({notAfter}: StoreClock, now: Instant): boolean {
 	const steady = now.steady - notAfter.steady;
 	const wall = now.wall - notAfter.wall;
-	return Math.abs(steady - wall) <= clockTolerance;
+	return Math.abs(steady - wall) <= maxClockDriftMs;
 }
 
 function clampBetween(value: number, low: number, high: number): number {
--- a/packages/sessions/find-elapsed.ts
+++ b/packages/sessions/find-elapsed.ts
@@ -1,9 +1,10 @@
 import type {Instant} from './instant.ts';
 
 /**
- * Finds how long ago a moment was at the most, in milliseconds.
+ * Finds an upper bound on the milliseconds that have passed since a moment.
  *
- * The larger of both clocks counts: a jump of the wall clock makes knowledge look too old, never too young.
+ * Takes the larger difference of the two clocks: the steady clock may stop while the host is suspended, and a backward
+ * jump of the wall clock must not make data look younger than it is.
  *
  * @example
  * findElapsed({steady: 10, wall: 1000}, {steady: 15, wall: 1005}); // 5
--- a/packages/sessions/find-fence-remaining.ts
+++ b/packages/sessions/find-fence-remaining.ts
@@ -1,18 +1,17 @@
 import {findLeaseRemaining} from './find-lease-remaining.ts';
 import type {Instant} from './instant.ts';
 
-/** A fence, and the hosts that may still use the old primary. */
-type Raised = {
-	/** When the store had the fence at the latest. */
+type Options = {
+	/** Latest moment at which the store can have applied the fence. */
 	readonly at: Instant;
-	/** Hosts that have not said that they gave the old primary up. */
-	readonly open: ReadonlySet<string>;
+	/** Hosts that may hold a lease and have not acknowledged the fence. */
+	readonly pending: ReadonlySet<string>;
 };
 
-/** Milliseconds that a lease is taken to last beyond its end, since clocks run differently. */
-const leaseMargin = 150;
+/** Milliseconds that are added to the lease duration, since the clocks of hosts run at different rates. */
+const leaseMarginMs = 150;
 
-/** Finds the milliseconds until no host can use the old primary any more; 0 or less when that is so. */
-export function findFenceRemaining({at, open}: Raised, now: Instant): number {
-	return open.size === 0 ? 0 : findLeaseRemaining(at, now) + leaseMargin;
+/** Finds the milliseconds until no host can use the old primary any more; 0 or less when none can. */
+export function findFenceRemaining({at, pending}: Options, now: Instant): number {
+	return pending.size === 0 ? 0 : findLeaseRemaining(at, now) + leaseMarginMs;
 }
--- a/packages/sessions/find-lease-remaining.ts
+++ b/packages/sessions/find-lease-remaining.ts
@@ -2,13 +2,14 @@
 import type {Instant} from './instant.ts';
 
 /**
- * Milliseconds for which a host may use a primary after the moment as of which the store named it.
+ * Lifetime of a lease on a primary in milliseconds, counted from when the store last confirmed the primary.
  *
- * A successor is promoted only after all hosts have given the primary up, or this long after the fence.
+ * A successor is promoted only after every host has released the old primary, or after this time has passed since the
+ * fence was set.
  */
-const leaseSpan = 2500;
+const leaseDurationMs = 2500;
 
-/** Finds the milliseconds that a lease on a primary still lasts; 0 or less when it has lapsed. */
+/** Finds the milliseconds until a lease on a primary expires; 0 or less when it has expired. */
 export function findLeaseRemaining(confirmedAt: Instant, now: Instant): number {
-	return leaseSpan - findElapsed(confirmedAt, now);
+	return leaseDurationMs - findElapsed(confirmedAt, now);
 }
--- a/packages/sessions/find-primary.test.ts
+++ b/packages/sessions/find-primary.test.ts
@@ -9,25 +9,25 @@
 describe('findPrimary', () => {
 	const cases = [
 		{
-			name: 'leases a primary that the store named a moment ago', known: {row}, now: at(100), expected: 'leased',
+			name: 'grants a lease on a primary that the store confirmed a moment ago', known: {row}, now: at(100), expected: 'leased',
 		},
 		{
-			name: 'lets the lease lapse', known: {row}, now: at(2500), expected: 'lapsed',
+			name: 'lets the lease expire', known: {row}, now: at(2500), expected: 'lapsed',
 		},
 		{
-			name: 'lets the lease lapse by the wall clock when the steady clock stood still', known: {row}, now: at(100, 2500), expected: 'lapsed',
+			name: 'lets the lease expire by the wall clock when the steady clock stopped', known: {row}, now: at(100, 2500), expected: 'lapsed',
 		},
 		{
-			name: 'keeps the lease when the wall clock jumps back', known: {row}, now: at(100, -5000), expected: 'leased',
+			name: 'keeps the lease when the wall clock jumps backwards', known: {row}, now: at(100, -5000), expected: 'leased',
 		},
 		{
-			name: 'gives no lease while a successor is made', known: {row: {...row, state: 'fencing' as const}}, now: at(100), expected: 'fencing',
+			name: 'grants no lease while a failover runs', known: {row: {...row, state: 'fencing' as const}}, now: at(100), expected: 'fencing',
 		},
 		{
-			name: 'gives no lease to a host that no fence would wait for', known: {row, isRegistered: false}, now: at(100), expected: 'unknown',
+			name: 'grants no lease to an unregistered host, as failovers would not wait for it', known: {row, isRegistered: false}, now: at(100), expected: 'unknown',
 		},
 		{
-			name: 'gives no lease on a primary that the store has not named', known: {row: undefined}, now: at(100), expected: 'unknown',
+			name: 'grants no lease when the store names no primary', known: {row: undefined}, now: at(100), expected: 'unknown',
 		},
 	];
 	for (const {name, known, now, expected} of cases) {
@@ -39,7 +39,7 @@
 		});
 	}
 
-	it('says that an outage may last when the lease lapsed long ago', () => {
+	it('suggests a longer retry delay when the lease expired long ago', () => {
 		const view = findPrimary({
 			row, confirmedAt: at(0), fencedAt: undefined, isRegistered: true,
 		}, at(6000));
--- a/packages/sessions/find-primary.ts
+++ b/packages/sessions/find-primary.ts
@@ -3,38 +3,38 @@
 import type {Instant} from './instant.ts';
 import type {PrimaryView} from './primary-view.ts';
 
-type Known = {
+type Options = {
 	readonly row: GroupRow | undefined;
-	/** Moment as of which the row is known. */
+	/** Moment as of which the store confirmed the row. */
 	readonly confirmedAt: Instant | undefined;
-	/** Steady milliseconds since when a successor is being made, as seen here. */
+	/** When this host first saw the fence, in milliseconds of the steady clock. */
 	readonly fencedAt: number | undefined;
-	/** Whether this host is registered in the store, so that a fence waits for it. */
+	/** Whether this host is registered in the store; a failover waits only for registered hosts to release the primary. */
 	readonly isRegistered: boolean;
 };
 
-/** Milliseconds that a replacement usually takes from the fence to the new primary. */
-const usualReplacement = 2500;
+/** Usual duration of a failover in milliseconds, from the fence to the new primary. */
+const usualFailoverMs = 2500;
 
-/** Milliseconds after which the store should have answered again. */
-const usualProof = 500;
+/** Milliseconds within which the store usually confirms the row again. */
+const usualConfirmMs = 500;
 
-/** Milliseconds after which to come back when the store has not answered for longer than is usual. */
-const longOutage = 2000;
+/** Milliseconds after which to retry when the store has not answered for longer than usual. */
+const longOutageRetryMs = 2000;
 
-/** Finds whether the primary of a group may be used now. */
-export function findPrimary({row, confirmedAt: provenAt, fencedAt, isRegistered}: Known, now: Instant): PrimaryView {
-	if (row === undefined || provenAt === undefined || !isRegistered) {
-		return {kind: 'unavailable', reason: 'unknown', retryAfter: usualProof};
+/** Finds whether this host may use the primary of a group now; if not, says why and when to retry. */
+export function findPrimary({row, confirmedAt, fencedAt, isRegistered}: Options, now: Instant): PrimaryView {
+	if (row === undefined || confirmedAt === undefined || !isRegistered) {
+		return {kind: 'unavailable', reason: 'unknown', retryAfter: usualConfirmMs};
 	}
 
 	if (row.state === 'fencing') {
 		const elapsed = now.steady - (fencedAt ?? now.steady);
-		return {kind: 'unavailable', reason: 'fencing', retryAfter: Math.max(usualProof, usualReplacement - elapsed)};
+		return {kind: 'unavailable', reason: 'fencing', retryAfter: Math.max(usualConfirmMs, usualFailoverMs - elapsed)};
 	}
 
-	const left = findLeaseRemaining(provenAt, now);
-	return left > 0
+	const remaining = findLeaseRemaining(confirmedAt, now);
+	return remaining > 0
 		? {kind: 'leased', instance: row.primary, epoch: row.epoch}
-		: {kind: 'unavailable', reason: 'lapsed', retryAfter: -left < usualProof ? usualProof : longOutage};
+		: {kind: 'unavailable', reason: 'lapsed', retryAfter: -remaining < usualConfirmMs ? usualConfirmMs : longOutageRetryMs};
 }
--- a/packages/sessions/find-renewal.ts
+++ b/packages/sessions/find-renewal.ts
@@ -2,25 +2,25 @@
 import type {StoreTable} from './store-table.ts';
 
 type Options = {
-	/** What the asking host knew when it asked. */
+	/** What the asking host had of each table when it asked. */
 	readonly asked: ReadonlyMap<StoreTable, AskedTable>;
-	/** Milliseconds since it asked. */
+	/** Milliseconds since the host asked. */
 	readonly waited: number;
-	/** Milliseconds since the store confirmed what is known here. */
+	/** Milliseconds since the store confirmed this host's copy of each table. */
 	readonly ages: ReadonlyMap<StoreTable, number>;
 };
 
-/** Milliseconds by which a proof must be younger than that of the asking host to be worth an answer. */
-const leastGain = 300;
+/** Milliseconds by which this host's copy must be fresher than that of the asking host to be worth an answer. */
+const minGainMs = 300;
 
-/** Tables whose proofs leases and keys depend on. */
-const provenTables = ['fleet', 'configuration'] as const satisfies readonly StoreTable[];
+/** Tables that must be fresh: leases depend on `fleet`, and the validity of keys on `configuration`. */
+const freshTables = ['fleet', 'configuration'] as const satisfies readonly StoreTable[];
 
-/** Finds how many of the proofs that matter are younger here than at the host that asks: all, some or none. */
+/** Finds whether this host has fresher copies of all, some or none of the tables that must be fresh. */
 export function findRenewal({asked, waited, ages}: Options): 'all' | 'some' | 'none' {
-	const renewed = provenTables.filter(table => {
+	const renewed = freshTables.filter(table => {
 		const age = asked.get(table)?.age ?? Number.POSITIVE_INFINITY;
-		return age + waited - (ages.get(table) ?? Number.POSITIVE_INFINITY) > leastGain;
+		return age + waited - (ages.get(table) ?? Number.POSITIVE_INFINITY) > minGainMs;
 	});
-	return renewed.length === provenTables.length ? 'all' : (renewed.length > 0 ? 'some' : 'none');
+	return renewed.length === freshTables.length ? 'all' : (renewed.length > 0 ? 'some' : 'none');
 }
--- a/packages/sessions/instant.ts
+++ b/packages/sessions/instant.ts
@@ -1,7 +1,7 @@
 /**
- * A moment on both clocks of a host, in milliseconds.
+ * A moment as read from both clocks of a host, in milliseconds.
  *
- * The steady clock may stand still while the host is suspended, and the wall clock may jump; see `findElapsed`.
+ * The steady (monotonic) clock may stop while the host is suspended, and the wall clock may jump; see `findElapsed`.
  */
 export type Instant = {
 	readonly steady: number;
--- a/packages/sessions/lease-model.test.ts
+++ b/packages/sessions/lease-model.test.ts
@@ -6,14 +6,14 @@
 import type {GroupRow} from './group-row.ts';
 import type {Instant} from './instant.ts';
 
-/** Schedules tried; many more by hand with SAPPHIREFALL_MODEL_RUNS. */
+/** Number of random schedules; set SAPPHIREFALL_MODEL_RUNS to run many more by hand. */
 const runs = Number(process.env['SAPPHIREFALL_MODEL_RUNS'] ?? 3000);
 
-/** Milliseconds for which a schedule goes on. */
-const length = 9000;
+/** Milliseconds that a schedule covers. */
+const scheduleMs = 9000;
 
-/** Milliseconds of one step of a schedule. */
-const stepSpan = 50;
+/** Milliseconds between two steps of a schedule. */
+const stepMs = 50;
 
 const serving: GroupRow = {
 	epoch: 1, state: 'serving', primary: 'old', successor: '', holder: 'x', token: 1,
@@ -21,27 +21,28 @@
 
 /** A host of a schedule; times in milliseconds of true time. */
 type HostPlan = {
-	/** When it registers; a host that comes late may do so during the replacement. */
+	/** When the host registers, which may be during the failover. */
 	readonly registersAt: number;
-	/** Between two reads of the row. */
+	/** Time between two reads of the row. */
 	readonly readInterval: number;
-	/** From the store's reading of the row to its arrival. */
+	/** Duration of a read; the store reads the row halfway. */
 	readonly readDelay: number;
+	/** When the host freezes, as when its machine is suspended, and for how long. */
 	readonly frozenFrom: number;
 	readonly frozenFor: number;
-	/** Whether the steady clock stands still while the host is frozen. */
-	readonly doesSteadyStop: boolean;
+	/** Whether the steady clock stops while the host is frozen. */
+	readonly hasSteadyStop: boolean;
 	/** Milliseconds by which the wall clock jumps, and when. */
 	readonly wallJump: number;
 	readonly jumpsAt: number;
-	/** Whether messages of the host that replaces the primary arrive. */
-	readonly isReached: boolean;
+	/** Whether fence requests reach the host. */
+	readonly isReachable: boolean;
 };
 
-/** What is taken out of the protocol, to show that the model notices. */
-type Left = 'nothing' | 'waiting' | 'registration' | 'wallClock' | 'fence';
+/** Part of the protocol that is left out, to show that the model finds the resulting violation. */
+type Omitted = 'nothing' | 'waiting' | 'registration' | 'wallClock' | 'fence';
 
-const time = (most: number) => fc.integer({min: 0, max: most});
+const time = (max: number) => fc.integer({min: 0, max});
 
 const hostPlan: fc.Arbitrary<HostPlan> = fc.record({
 	registersAt: fc.oneof(fc.constant(0), time(5000)),
@@ -49,69 +50,69 @@
 	readDelay: time(600),
 	frozenFrom: time(5000),
 	frozenFor: fc.oneof(fc.constant(0), time(6000)),
-	doesSteadyStop: fc.boolean(),
+	hasSteadyStop: fc.boolean(),
 	wallJump: fc.constantFrom(0, 2400, -2400, -9000),
 	jumpsAt: time(6000),
-	isReached: fc.boolean(),
+	isReachable: fc.boolean(),
 });
 
-/** Reads the clocks of a host at a true time. */
+/** Returns what the clocks of a host show at a true time. */
 function readClocks(plan: HostPlan, now: number): Instant {
 	const frozen = Math.max(0, Math.min(now, plan.frozenFrom + plan.frozenFor) - plan.frozenFrom);
 	return {
-		steady: plan.doesSteadyStop ? now - frozen : now,
-		// A host whose steady clock stops is seen by its wall clock alone, which then does not jump as well.
-		wall: now + (now >= plan.jumpsAt && !plan.doesSteadyStop ? plan.wallJump : 0),
+		steady: plan.hasSteadyStop ? now - frozen : now,
+		// A host whose steady clock stops depends on its wall clock, so the model lets only one of the two fail.
+		wall: now + (now >= plan.jumpsAt && !plan.hasSteadyStop ? plan.wallJump : 0),
 	};
 }
 
-/** Plays a schedule; returns a description of a host that used the old primary after the promotion, if any did. */
-function findViolation(hosts: readonly HostPlan[], fencedAt: number, left: Left): string | undefined {
+/** Simulates a schedule; returns a description of a host that used the old primary after the promotion, if any did. */
+function findViolation(hosts: readonly HostPlan[], fencedAt: number, omitted: Omitted): string | undefined {
 	const isAwake = (plan: HostPlan, now: number) => now < plan.frozenFrom || now >= plan.frozenFrom + plan.frozenFor;
-	const known = hosts.map(() => ({
-		provenAt: undefined as Instant | undefined, row: undefined as GroupRow | undefined, isFenced: false, readAt: 0,
+	const states = hosts.map(() => ({
+		confirmedAt: undefined as Instant | undefined, row: undefined as GroupRow | undefined, isFenced: false, readAt: 0,
 	}));
-	/** Hosts that the fence has to wait for, by their index. */
-	const open = new Set(hosts.flatMap((plan, index) => plan.registersAt <= fencedAt ? [String(index)] : []));
+	/** Indexes of the hosts that have not acknowledged the fence. */
+	const pending = new Set(hosts.flatMap((plan, index) => plan.registersAt <= fencedAt ? [String(index)] : []));
 	let promotedAt: number | undefined;
-	for (let now = 0; now < length; now += stepSpan) {
+	for (let now = 0; now < scheduleMs; now += stepMs) {
 		for (const [index, plan] of hosts.entries()) {
-			const host = known[index]!;
+			const host = states[index]!;
 			if (!isAwake(plan, now)) {
 				continue;
 			}
 
 			const sentAt = host.readAt;
 			const storeReadAt = sentAt + Math.floor(plan.readDelay / 2);
-			const mayRead = left === 'registration' || sentAt >= plan.registersAt;
+			const canRead = omitted === 'registration' || sentAt >= plan.registersAt;
 			if (now >= sentAt + plan.readDelay) {
-				if (mayRead) {
-					host.row = storeReadAt >= fencedAt && left !== 'fence' ? {...serving, epoch: 2, state: 'fencing'} : serving;
-					host.provenAt = readClocks(plan, sentAt);
+				if (canRead) {
+					host.row = storeReadAt >= fencedAt && omitted !== 'fence' ? {...serving, epoch: 2, state: 'fencing'} : serving;
+					host.confirmedAt = readClocks(plan, sentAt);
 				}
 
 				host.readAt = now + plan.readInterval;
 			}
 
-			if (now > fencedAt && plan.isReached) {
+			if (now > fencedAt && plan.isReachable) {
 				host.isFenced = true;
-				open.delete(String(index));
+				pending.delete(String(index));
 			}
 
 			const clocks = readClocks(plan, now);
 			const view = findPrimary({
 				row: host.isFenced && host.row !== undefined ? {...host.row, state: 'fencing'} : host.row,
-				confirmedAt: host.provenAt,
+				confirmedAt: host.confirmedAt,
 				fencedAt: undefined,
-				isRegistered: host.provenAt !== undefined,
-			}, left === 'wallClock' && host.provenAt !== undefined ? {...clocks, wall: host.provenAt.wall} : clocks);
+				isRegistered: host.confirmedAt !== undefined,
+			}, omitted === 'wallClock' && host.confirmedAt !== undefined ? {...clocks, wall: host.confirmedAt.wall} : clocks);
 			if (promotedAt !== undefined && view.kind === 'leased') {
 				return `host ${index} uses the old primary at ${now}, after the promotion at ${promotedAt}`;
 			}
 		}
 
-		const isOver = findFenceRemaining({at: {steady: fencedAt, wall: fencedAt}, open}, {steady: now, wall: now}) <= 0;
-		if (now > fencedAt && promotedAt === undefined && (left === 'waiting' || isOver)) {
+		const isOver = findFenceRemaining({at: {steady: fencedAt, wall: fencedAt}, pending}, {steady: now, wall: now}) <= 0;
+		if (now > fencedAt && promotedAt === undefined && (omitted === 'waiting' || isOver)) {
 			promotedAt = now;
 		}
 	}
@@ -119,19 +120,19 @@
 	return undefined;
 }
 
-const createProperty = (left: Left) => fc.property(fc.array(hostPlan, {minLength: 1, maxLength: 4}), fc.integer({min: 500, max: 5000}), (hosts, fencedAt) => {
-	expect(findViolation(hosts, fencedAt, left)).to.equal(undefined);
+const createProperty = (omitted: Omitted) => fc.property(fc.array(hostPlan, {minLength: 1, maxLength: 4}), fc.integer({min: 500, max: 5000}), (hosts, fencedAt) => {
+	expect(findViolation(hosts, fencedAt, omitted)).to.equal(undefined);
 });
 
-describe('leases on primaries, as a model with frozen hosts, clock jumps and lost messages', () => {
-	it('let no host use a primary that was replaced', () => {
+describe('leases on primaries, modelled with frozen hosts, clock jumps and lost messages', () => {
+	it('let no host use a primary after its successor was promoted', () => {
 		fc.assert(createProperty('nothing'), {numRuns: runs});
 	}).timeout(600_000);
 
-	const taken: readonly Left[] = ['waiting', 'registration', 'wallClock', 'fence'];
-	for (const left of taken) {
-		it(`fail without ${left}, so the model would notice`, () => {
-			expect(fc.check(createProperty(left), {numRuns: 20_000, seed: 1}).failed).to.equal(true);
+	const omissions: readonly Omitted[] = ['waiting', 'registration', 'wallClock', 'fence'];
+	for (const omitted of omissions) {
+		it(`fail without ${omitted}, which shows that the model finds violations`, () => {
+			expect(fc.check(createProperty(omitted), {numRuns: 20_000, seed: 1}).failed).to.equal(true);
 		}).timeout(600_000);
 	}
 });
--- a/packages/sessions/primary-view.ts
+++ b/packages/sessions/primary-view.ts
@@ -1,5 +1,5 @@
-/** Whether a host may use the primary of a group now. */
+/** Whether a host holds a lease on the primary of a group, or why it does not. */
 export type PrimaryView =
 	| {readonly kind: 'leased'; readonly instance: string; readonly epoch: number}
-	/** No lease; `retryAfter` are the milliseconds until there should be a primary again. */
+	/** No lease. `retryAfter` is the expected number of milliseconds until a primary is available. */
 	| {readonly kind: 'unavailable'; readonly reason: 'unknown' | 'lapsed' | 'fencing'; readonly retryAfter: number};
--- a/packages/sessions/versioned.ts
+++ b/packages/sessions/versioned.ts
@@ -1,2 +1,2 @@
-/** A row and its version in the store. */
+/** A row with its version in the store. */
 export type Versioned<Row> = Row & {readonly version: number};
--- a/packages/sessions/wait-for-hosts.ts
+++ b/packages/sessions/wait-for-hosts.ts
@@ -4,32 +4,32 @@
 import {findFenceRemaining} from './find-fence-remaining.ts';
 import type {Failover} from './failover.ts';
 
-/** Milliseconds between two rounds of questions to hosts. */
-const roundInterval = 100;
+/** Milliseconds between two rounds of fence requests to the hosts. */
+const roundIntervalMs = 100;
 
 /**
- * Waits until every host that may hold a lease has given it up, or its lease has lapsed.
+ * Waits until every host that may hold a lease on the old primary has acknowledged the fence, or all leases have expired.
  *
- * @returns Hosts that had to be waited out.
+ * @returns Names of the hosts that did not acknowledge the fence, whose leases had to expire.
  */
 export async function waitForHosts({row, hosts, at}: Fence, replacement: Failover): Promise<readonly string[]> {
 	const {group, self, now, findPeer, listRecentHosts} = replacement;
 	group.fence(row.epoch);
-	const open = new Set([...hosts, ...listRecentHosts()].map(({name}) => name));
-	open.delete(self);
-	const findLeft = () => findFenceRemaining({at, open}, now());
-	while (findLeft() > 0) {
-		const round = Promise.all([...open].map(async name => {
+	const pending = new Set([...hosts, ...listRecentHosts()].map(({name}) => name));
+	pending.delete(self);
+	const findRemaining = () => findFenceRemaining({at, pending}, now());
+	while (findRemaining() > 0) {
+		const round = Promise.all([...pending].map(async name => {
 			const isFenced = await findPeer(name)?.fenceGroup(group.name, row.epoch);
 			if (isFenced === true) {
-				open.delete(name);
+				pending.delete(name);
 			}
 		}));
-		await Promise.race([round, sleep(findLeft())]);
-		if (open.size > 0) {
-			await sleep(Math.min(roundInterval, Math.max(0, findLeft())));
+		await Promise.race([round, sleep(findRemaining())]);
+		if (pending.size > 0) {
+			await sleep(Math.min(roundIntervalMs, Math.max(0, findRemaining())));
 		}
 	}
 
-	return [...open];
+	return [...pending];
 }
