--- a/packages/sessions/choose-successor.ts
+++ b/packages/sessions/choose-successor.ts
@@ -1,17 +1,21 @@
 import {comparePoints} from '@sapphirefall/decisions';
 import type {InstanceStatus} from './instance-status.ts';
 
-/** An instance that answered, and what it said. */
+/** An instance that answered a status request. */
 type Candidate = {
 	readonly id: string;
 	readonly status: InstanceStatus;
 	readonly isDeparting: boolean;
 };
 
-/** Chooses the instance that is furthest ahead, so that least is lost; of equal ones the first by name. */
+/**
+ * Chooses the instance with the newest log, so that the fewest writes are lost; of equal instances the first by id.
+ *
+ * Chooses a departing instance only when no other is left.
+ */
 export function chooseSuccessor(candidates: readonly Candidate[]): Candidate | undefined {
-	const staying = candidates.filter(({isDeparting}) => !isDeparting);
-	return (staying.length > 0 ? staying : candidates)
+	const remaining = candidates.filter(({isDeparting}) => !isDeparting);
+	return (remaining.length > 0 ? remaining : candidates)
 		.toSorted((a, b) => comparePoints(b.status.received, a.status.received) || (a.id < b.id ? -1 : 1))
 		.at(0);
 }
--- a/packages/sessions/commit-fence.ts
+++ b/packages/sessions/commit-fence.ts
@@ -5,7 +5,12 @@
 import {readFleetRows} from './read-fleet-rows.ts';
 import type {Failover} from './failover.ts';
 
-/** Takes the failoverLock and raises the fence in one change; settles a lost answer by reading the rows. */
+/**
+ * Takes the failover lock and sets the fence in one commit, then reads the rows to see whether the commit was applied, as
+ * its answer may be lost.
+ *
+ * @returns The fence; undefined when another host is first or the store does not answer.
+ */
 export async function commitFence(replacement: Failover): Promise<Fence | undefined> {
 	const {group, self, store, log, now} = replacement;
 	const before = await readFleetRows(store, log);
@@ -14,7 +19,7 @@
 		return undefined;
 	}
 
-	if (isTakenByOther(before, replacement)) {
+	if (isTakenByOtherHost(before, replacement)) {
 		return undefined;
 	}
 
@@ -40,15 +45,15 @@
 		: undefined;
 }
 
-/** Whether another host replaces this primary, or holds the failoverLock for another one. */
-function isTakenByOther({groups, failoverLock}: FleetRows, {group, self, reason}: Failover): boolean {
+/** Checks whether another host replaces this primary, or holds the failover lock while it replaces another one. */
+function isTakenByOtherHost({groups, failoverLock}: FleetRows, {group, self, reason}: Failover): boolean {
 	if (reason === 'abandoned') {
 		return false;
 	}
 
 	const row = groups.get(group.name);
 	const isFencedByOther = row?.state === 'fencing' && row.holder !== self;
-	const isDutyBusy = failoverLock !== undefined && failoverLock.holder !== self && [...groups]
+	const isLockInUse = failoverLock !== undefined && failoverLock.holder !== self && [...groups]
 		.some(([name, other]) => name !== group.name && other.state === 'fencing' && other.holder === failoverLock.holder);
-	return isFencedByOther || isDutyBusy;
+	return isFencedByOther || isLockInUse;
 }
--- a/packages/sessions/commit-group-row.ts
+++ b/packages/sessions/commit-group-row.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- attempts follow each other */
+/* eslint-disable no-await-in-loop -- attempts run one after another */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {fleetKeys} from './fleet-keys.ts';
 import type {GroupRow} from './group-row.ts';
@@ -6,16 +6,21 @@
 import type {Failover} from './failover.ts';
 import type {Versioned} from './versioned.ts';
 
-/** Times that the row is written. */
-const attemptsLimit = 20;
+/** Maximum number of attempts to write the row. */
+const maxAttempts = 20;
 
-/** Milliseconds between two tries. */
-const roundInterval = 100;
+/** Milliseconds between two attempts. */
+const retryIntervalMs = 100;
 
-/** Writes a group's row over the version that is known; settles a lost answer by reading the row. */
+/**
+ * Replaces a known version of a group's row, and reads the row after each attempt to see whether the write was applied, as
+ * its answer may be lost.
+ *
+ * @returns The row as stored; undefined when another host wrote the row first or the store does not answer.
+ */
 export async function commitGroupRow(from: Versioned<GroupRow>, {version: _version, ...row}: Versioned<GroupRow>, {store, group, log}: Failover): Promise<Versioned<GroupRow> | undefined> {
 	const key = `${fleetKeys.groupPrefix}${group.name}`;
-	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
 		await store.commit({expected: new Map([[key, from.version]]), values: new Map([[key, JSON.stringify(row)]])});
 		const rows = await readFleetRows(store, log);
 		const known = rows?.groups.get(group.name);
@@ -24,7 +29,7 @@
 			return isOurs ? known : undefined;
 		}
 
-		await sleep(roundInterval);
+		await sleep(retryIntervalMs);
 	}
 
 	return undefined;
--- a/packages/sessions/failover-lock-row.ts
+++ b/packages/sessions/failover-lock-row.ts
@@ -1,6 +1,7 @@
-/** Which host may order promotions; one at a time over the whole fleet. */
+/** Stored lock that lets one host at a time in the whole fleet order promotions. */
 export type FailoverLockRow = {
+	/** Host that holds the lock. */
 	readonly holder: string;
-	/** Grows by one with each new holder. */
+	/** Fencing token; increases by one with each new holder. */
 	readonly token: number;
 };
--- a/packages/sessions/failover-reason.ts
+++ b/packages/sessions/failover-reason.ts
@@ -1,2 +1,5 @@
-/** Why a primary is to be replaced. */
+/**
+ * Why a primary is replaced: the platform lists it as departing, or no longer lists it, or it does not answer, or another
+ * host abandoned its failover.
+ */
 export type FailoverReason = 'departing' | 'missing' | 'silent' | 'abandoned';
--- a/packages/sessions/failover.ts
+++ b/packages/sessions/failover.ts
@@ -7,7 +7,7 @@
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 
-/** The replacement of a primary by this host, and what it uses. */
+/** A failover that this host runs: the group, the reason, and what the failover depends on. */
 export type Failover = {
 	readonly group: SessionGroup;
 	readonly reason: FailoverReason;
@@ -16,9 +16,9 @@
 	readonly store: Store;
 	readonly orderPromotion: OrderPromotion;
 	readonly findPeer: (host: string) => FleetPeer | undefined;
-	/** Hosts that were registered lately; they may hold leases though their rows are gone. */
+	/** Hosts that are or recently were registered; they may hold leases though their rows are deleted. */
 	readonly listRecentHosts: () => readonly HostRow[];
-	/** Workspace in whose name instances are asked. */
+	/** Workspace whose connections are used to query instances. */
 	readonly workspace: string;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
--- a/packages/sessions/find-failover-rank.ts
+++ b/packages/sessions/find-failover-rank.ts
@@ -7,21 +7,22 @@
 	readonly hosts: ReadonlyArray<Pick<HostRow, 'name' | 'zone'>>;
 	/** Hosts that connect to the primary, best first. */
 	readonly gateways: readonly string[];
-	/** Whether this host is replacing the primary of another group. */
+	/** Whether this host holds the failover lock because it replaces the primary of another group. */
 	readonly hasFailoverLock: boolean;
 };
 
-/** Place after which hosts wait no longer. */
-const lastPlace = 8;
+/** Rank of all hosts that do not connect to the primary, so that the longest wait is bounded. */
+const lastRank = 8;
 
-/** Place of hosts of other zones: they are needed only when the primary's own zone cannot act. */
-const otherZonePlace = 3;
+/** Rank of hosts of other zones, which are needed only when no host of the primary's own zone can act. */
+const otherZoneRank = 3;
 
 /**
- * Finds a host's place among those that may replace a primary; 0 acts first.
+ * Finds a host's rank among those that may replace a primary; rank 0 acts first.
  *
- * Only hosts that connect to a primary notice that it is silent, so they come first. One host at a time may replace
- * primaries: while it does, it replaces all that it finds lost, such as those of a zone.
+ * Hosts that connect to the primary come first, as only they notice that it is silent. The host that holds the failover
+ * lock has rank 0 for every other primary that it finds lost, such as those of a failed zone, because no other host may
+ * replace them meanwhile.
  */
 export function findFailoverRank({
 	self, zone, hosts, gateways, hasFailoverLock: isHoldingDuty,
@@ -31,10 +32,10 @@
 	}
 
 	const isElsewhere = hosts.find(({name}) => name === self)?.zone !== zone;
-	const place = gateways.indexOf(self);
-	if (place === -1) {
-		return lastPlace;
+	const index = gateways.indexOf(self);
+	if (index === -1) {
+		return lastRank;
 	}
 
-	return isElsewhere ? otherZonePlace : Math.min(otherZonePlace, place);
+	return isElsewhere ? otherZoneRank : Math.min(otherZoneRank, index);
 }
--- a/packages/sessions/find-failover-reason.test.ts
+++ b/packages/sessions/find-failover-reason.test.ts
@@ -7,21 +7,21 @@
 const row = {
 	epoch: 3, state: 'serving', primary: 'i-1', successor: '', holder: 'a1', token: 2,
 } as const;
-const calm = {
+const healthy = {
 	row, isDeparting: false, missingSince: undefined, health, fencedAt: undefined, isListFresh: true, now: 10_000,
 };
 
 describe('findFailoverReason', () => {
 	const cases = [
-		{name: 'leaves a calm primary alone', seen: calm, expected: undefined},
-		{name: 'replaces one that departs', seen: {...calm, isDeparting: true}, expected: 'departing'},
-		{name: 'does not trust an old list', seen: {...calm, isDeparting: true, isListFresh: false}, expected: undefined},
-		{name: 'gives a lapsed entry time to come back', seen: {...calm, missingSince: 8000}, expected: undefined},
-		{name: 'replaces one whose entry stays away', seen: {...calm, missingSince: 7000}, expected: 'missing'},
-		{name: 'suspects one that answers nothing', seen: {...calm, health: {...health, unansweredSince: 9000}}, expected: 'silent'},
-		{name: 'waits for a slow answer', seen: {...calm, health: {...health, unansweredSince: 9500}}, expected: undefined},
-		{name: 'leaves a replacement to the host that makes it', seen: {...calm, row: {...row, state: 'fencing' as const}, fencedAt: 6000}, expected: undefined},
-		{name: 'goes on with one that its host left behind', seen: {...calm, row: {...row, state: 'fencing' as const}, fencedAt: 4000}, expected: 'abandoned'},
+		{name: 'keeps a healthy primary', seen: healthy, expected: undefined},
+		{name: 'replaces a departing primary', seen: {...healthy, isDeparting: true}, expected: 'departing'},
+		{name: 'does not act on a stale list', seen: {...healthy, isDeparting: true, isListFresh: false}, expected: undefined},
+		{name: 'waits for an expired entry to be renewed', seen: {...healthy, missingSince: 8000}, expected: undefined},
+		{name: 'replaces a primary that stays unlisted', seen: {...healthy, missingSince: 7000}, expected: 'missing'},
+		{name: 'suspects a primary that does not answer', seen: {...healthy, health: {...health, unansweredSince: 9000}}, expected: 'silent'},
+		{name: 'waits for a slow answer', seen: {...healthy, health: {...health, unansweredSince: 9500}}, expected: undefined},
+		{name: 'leaves a running failover to its host', seen: {...healthy, row: {...row, state: 'fencing' as const}, fencedAt: 6000}, expected: undefined},
+		{name: 'resumes a failover that its host abandoned', seen: {...healthy, row: {...row, state: 'fencing' as const}, fencedAt: 4000}, expected: 'abandoned'},
 	];
 	for (const {name, seen, expected} of cases) {
 		it(name, () => {
--- a/packages/sessions/find-failover-reason.ts
+++ b/packages/sessions/find-failover-reason.ts
@@ -2,47 +2,47 @@
 import type {InstanceHealth} from './instance-health.ts';
 import type {FailoverReason} from './failover-reason.ts';
 
-type Seen = {
+type Options = {
 	readonly row: GroupRow;
 	/** Whether the platform lists the primary as departing. */
 	readonly isDeparting: boolean;
-	/** Since when the platform does not list the primary, in steady milliseconds. */
+	/** When the platform stopped listing the primary, in milliseconds of the steady clock. */
 	readonly missingSince: number | undefined;
 	readonly health: InstanceHealth | undefined;
-	/** Since when a replacement is under way, as seen here, in steady milliseconds. */
+	/** When this host first saw the current fence, in milliseconds of the steady clock. */
 	readonly fencedAt: number | undefined;
-	/** Whether what the platform lists is known to be recent. */
+	/** Whether the platform's list of instances is recent enough to act on. */
 	readonly isListFresh: boolean;
-	/** Steady milliseconds. */
+	/** Milliseconds of the steady clock. */
 	readonly now: number;
 };
 
-/** Milliseconds without any answer to something sent after which an instance counts as silent. */
-const silenceLimit = 700;
+/** Milliseconds that a request may stay unanswered before its instance counts as silent. */
+const silenceLimitMs = 700;
 
-/** Milliseconds after which an instance that is no longer listed counts as gone; its entry may have lapsed by mistake. */
-const missingLimit = 2600;
+/** Milliseconds that an instance must be unlisted before it counts as missing, since its entry may have expired by mistake. */
+const missingLimitMs = 2600;
 
-/** Milliseconds after which a replacement that another host began counts as abandoned. */
-const abandonedLimit = 5000;
+/** Milliseconds after which a failover that another host started counts as abandoned. */
+const abandonedLimitMs = 5000;
 
-/** Finds whether the primary of a group should be replaced, as far as this host can see. */
-export function findFailoverReason(seen: Seen): FailoverReason | undefined {
+/** Finds why the primary of a group should be replaced, from what this host sees; undefined when it should not. */
+export function findFailoverReason(options: Options): FailoverReason | undefined {
 	const {
 		row, health, missingSince, fencedAt, now,
-	} = seen;
+	} = options;
 	if (row.state === 'fencing') {
-		return fencedAt !== undefined && now - fencedAt > abandonedLimit ? 'abandoned' : undefined;
+		return fencedAt !== undefined && now - fencedAt > abandonedLimitMs ? 'abandoned' : undefined;
 	}
 
-	if (seen.isListFresh && seen.isDeparting) {
+	if (options.isListFresh && options.isDeparting) {
 		return 'departing';
 	}
 
-	if (seen.isListFresh && missingSince !== undefined && now - missingSince > missingLimit) {
+	if (options.isListFresh && missingSince !== undefined && now - missingSince > missingLimitMs) {
 		return 'missing';
 	}
 
-	const isSilent = health?.unansweredSince !== undefined && now - health.unansweredSince > silenceLimit;
+	const isSilent = health?.unansweredSince !== undefined && now - health.unansweredSince > silenceLimitMs;
 	return isSilent ? 'silent' : undefined;
 }
--- a/packages/sessions/fleet-keys.ts
+++ b/packages/sessions/fleet-keys.ts
@@ -1,4 +1,4 @@
-/** Keys of the fleet's rows in the store. */
+/** Keys and key prefixes of the rows of the `fleet` table in the store. */
 export const fleetKeys = {
 	failoverLock: 'duty',
 	rateHomePrefix: 'rate-home/',
--- a/packages/sessions/fleet-rows.ts
+++ b/packages/sessions/fleet-rows.ts
@@ -4,12 +4,13 @@
 import type {HostRow} from './host-row.ts';
 import type {Versioned} from './versioned.ts';
 
-/** The fleet's own rows. */
+/** The parsed rows of the `fleet` table. */
 export type FleetRows = {
+	/** Primaries of the groups, by group. */
 	readonly groups: ReadonlyMap<string, Versioned<GroupRow>>;
-	/** Hosts in use, by name. */
+	/** Registered hosts, by name. */
 	readonly hosts: ReadonlyMap<string, Versioned<HostRow>>;
-	/** Hosts that were not heard of for long; they may hold leases for a little while. */
+	/** Hosts that are being removed after a long silence, by name; they may still hold leases. */
 	readonly goneHosts: ReadonlyMap<string, Versioned<HostRow>>;
 	readonly failoverLock: Versioned<FailoverLockRow> | undefined;
 	/** Hosts that share out the rates, by partition of the workspaces; see `findRatePartition`. */
--- a/packages/sessions/group-row.ts
+++ b/packages/sessions/group-row.ts
@@ -1,15 +1,15 @@
-/** What the store holds about the primary of a group. */
+/** Stored row that names the primary of a group. */
 export type GroupRow = {
-	/** Counts the primaries of the group; every replacement takes the next one. */
+	/** Epoch of the primary; every failover increments it. */
 	readonly epoch: number;
-	/** `fencing`: the primary must not be used any more, and a successor is being made. */
+	/** `fencing` while a failover runs: the primary must not be used any more. */
 	readonly state: 'serving' | 'fencing';
-	/** Instance that is the primary, or was until the fence. */
+	/** Instance that is the primary, or was until it was fenced. */
 	readonly primary: string;
-	/** Instance that is to follow; empty until it is known. */
+	/** Instance that is to become the primary; empty until one has been chosen. */
 	readonly successor: string;
-	/** Host that makes the change. */
+	/** Host that last changed the row, and runs the failover while the state is `fencing`. */
 	readonly holder: string;
-	/** Fencing token of the holder. */
+	/** Fencing token with which the holder took the failover lock. */
 	readonly token: number;
 };
--- a/packages/sessions/host-row.ts
+++ b/packages/sessions/host-row.ts
@@ -1,11 +1,11 @@
-/** What the store holds about a host that may use primaries. */
+/** Stored registration of a host, without which it may not use primaries. */
 export type HostRow = {
 	readonly name: string;
 	readonly zone: string;
-	/** Address for calls of other hosts. */
+	/** Address at which other hosts call this host. */
 	readonly address: string;
 	/** Differs at each start of the process. */
 	readonly incarnation: number;
-	/** Whether the host was not heard of for long; it may hold leases for a little while. */
+	/** Whether the host has been silent for long and is being removed; until its row is dropped it may still hold leases. */
 	readonly isGone?: boolean;
 };
--- a/packages/sessions/order-promotion.ts
+++ b/packages/sessions/order-promotion.ts
@@ -1,8 +1,8 @@
-/** Orders that an instance becomes the primary; `lost` when the order may or may not have been taken. */
+/** Requests the promotion of an instance to primary; resolves to `lost` when it is unknown whether the request was accepted. */
 export type OrderPromotion = (order: {
 	readonly group: string;
 	readonly instance: string;
-	/** Host that holds the duty, and its fencing token. */
+	/** Host that holds the failover lock, and its fencing token. */
 	readonly holder: string;
 	readonly token: number;
 }) => Promise<'accepted' | 'refused' | 'lost'>;
--- a/packages/sessions/parse-fleet-rows.ts
+++ b/packages/sessions/parse-fleet-rows.ts
@@ -8,7 +8,7 @@
 import type {StoreRow} from './store-row.ts';
 import type {Versioned} from './versioned.ts';
 
-/** Parses the fleet's rows; one that cannot be read is logged and left out. */
+/** Parses the rows of the `fleet` table; logs and skips a row that is not valid JSON. */
 export function parseFleetRows(rows: Iterable<StoreRow>, log: SessionLog): FleetRows {
 	const groups = new Map<string, Versioned<GroupRow>>();
 	const hosts = new Map<string, Versioned<HostRow>>();
@@ -28,7 +28,7 @@
 				(row.isGone === true ? goneHosts : hosts).set(row.name, row);
 			}
 		} catch (error) {
-			log.warn({key, version, error: (error as Error).message}, 'store: A row of the fleet cannot be read and is left out.');
+			log.warn({key, version, error: (error as Error).message}, 'store: The host skips a row of the fleet table that it cannot parse.');
 		}
 	}
 
--- a/packages/sessions/read-fleet-rows.ts
+++ b/packages/sessions/read-fleet-rows.ts
@@ -1,25 +1,25 @@
-/* eslint-disable no-await-in-loop -- attempts follow each other */
+/* eslint-disable no-await-in-loop -- attempts run one after another */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {FleetRows} from './fleet-rows.ts';
 import {parseFleetRows} from './parse-fleet-rows.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 
-/** Times that the store is asked. */
-const attemptsLimit = 3;
+/** Maximum number of attempts to read the rows. */
+const maxAttempts = 3;
 
-/** Milliseconds between two tries. */
-const roundInterval = 100;
+/** Milliseconds between two attempts. */
+const retryIntervalMs = 100;
 
-/** Reads the fleet's rows from the store; undefined when that does not answer. */
+/** Reads the `fleet` table from the store; undefined when the store does not answer. */
 export async function readFleetRows(store: Store, log: SessionLog): Promise<FleetRows | undefined> {
-	for (let attempt = 0; attempt < attemptsLimit; attempt++) {
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
 		const read = await store.read('fleet');
 		if (read.kind === 'done') {
 			return parseFleetRows(read.value.rows, log);
 		}
 
-		await sleep(roundInterval);
+		await sleep(retryIntervalMs);
 	}
 
 	return undefined;
--- a/packages/sessions/replace-primary.ts
+++ b/packages/sessions/replace-primary.ts
@@ -6,14 +6,14 @@
 import {waitForHosts} from './wait-for-hosts.ts';
 
 /**
- * Replaces the primary of a group: fences the old one in the store, waits until no host uses it, promotes the
- * instance that is furthest ahead, and names it in the store.
+ * Replaces the primary of a group: fences the old primary in the store, waits until no host uses it, promotes the
+ * instance with the newest log, and stores it as the new primary.
  *
- * Every step can be taken up by another host. The order of promotion is repeated only for the same instance
- * until that is known to be gone.
+ * Another host can resume the failover after any step. A promotion order is repeated only for the same instance until
+ * that instance is known to be gone.
  */
-export async function replacePrimary(replacement: Failover): Promise<void> {
-	const {group, log, reason, now} = replacement;
+export async function replacePrimary(failover: Failover): Promise<void> {
+	const {group, log, reason, now} = failover;
 	const startedAt = now().steady;
 	const step = (line: string, fields: Readonly<Record<string, unknown>> = {}) => {
 		log.info({
@@ -21,26 +21,26 @@
 		}, `failover: ${line}`);
 	};
 
-	const fence = await commitFence(replacement);
+	const fence = await commitFence(failover);
 	if (fence === undefined) {
-		step('The fence was not raised; another host may have been first.');
+		step('The host did not set the fence; another host may have been first.');
 		return;
 	}
 
-	step('The fence is raised.', {epoch: fence.row.epoch, token: fence.row.token, hosts: fence.hosts.length});
-	const silent = await waitForHosts(fence, replacement);
-	step('No host uses the old primary any more.', {silent});
-	const promoted = await executePromotion(fence, replacement, step);
+	step('The host set the fence.', {epoch: fence.row.epoch, token: fence.row.token, hosts: fence.hosts.length});
+	const silent = await waitForHosts(fence, failover);
+	step('All leases on the old primary are released or expired.', {silent});
+	const promoted = await executePromotion(fence, failover, step);
 	if (promoted === undefined) {
-		step('No successor could be promoted in time; another host goes on.');
+		step('The host promoted no successor in time; another host resumes the failover.');
 		return;
 	}
 
 	const outcome = await commitGroupRow(promoted.row, {
 		...promoted.row, state: 'serving', primary: promoted.instance, successor: '',
-	}, replacement);
-	step('The new primary is named in the store.', {primary: promoted.instance, term: promoted.status.term, outcome});
+	}, failover);
+	step('The host stored the new primary.', {primary: promoted.instance, term: promoted.status.term, outcome});
 	if (promoted.instance !== fence.row.primary) {
-		void sendStepDown(fence.row.primary, promoted.status.term, replacement);
+		void sendStepDown(fence.row.primary, promoted.status.term, failover);
 	}
 }
