--- a/packages/sessions/apply-observation.ts
+++ b/packages/sessions/apply-observation.ts
@@ -1,33 +1,33 @@
 import {comparePoints, type LogPoint} from '@sapphirefall/decisions';
 import type {InstanceHealth} from './instance-health.ts';
 
-/** What happened between this host and an instance. */
+/** An event between this host and an instance. */
 type Observation =
 	| {readonly kind: 'sent'}
-	/** `latency` in milliseconds counts only for statements that took a slot. */
+	/** `latency` is in milliseconds, and undefined unless a statement took a slot. */
 	| {readonly kind: 'answered'; readonly latency: number | undefined; readonly position: LogPoint | undefined}
 	| {readonly kind: 'lagging'; readonly missingPosition: LogPoint}
-	/** A connection was lost or could not be opened, or an answer did not come in time. */
+	/** A connection was lost or could not be opened, or an answer timed out. */
 	| {readonly kind: 'failed'};
 
-/** Weight of the newest latency in the smoothed one. */
+/** Weight of the newest latency in the exponential moving average. */
 const latencyWeight = 0.15;
 
-/** Milliseconds for which an instance is avoided after its first failure, and at the most. */
-const avoidance = {first: 200, last: 1500};
+/** Milliseconds for which an instance is avoided after its first failure, and the limit to which that time doubles. */
+const backoffMs = {first: 200, last: 1500};
 
-/** Milliseconds for which others stay away while one request tries an instance that failed. */
-const trialSpan = 800;
+/** Milliseconds for which other requests avoid a failed instance while one request probes it. */
+const probeMs = 800;
 
-/** Applies what was seen of an instance; `now` in steady milliseconds. */
+/** Updates the health of an instance by an observation; `now` is in milliseconds of the steady clock. */
 export function applyObservation(health: InstanceHealth, {seen, now}: {readonly seen: Observation; readonly now: number}): InstanceHealth {
 	switch (seen.kind) {
 		case 'sent': {
 			return {
 				...health,
 				unansweredSince: health.unansweredSince ?? now,
-				// One request tells whether an instance that failed is back; others go elsewhere meanwhile.
-				avoidedUntil: health.failures > 0 ? Math.max(health.avoidedUntil, now + trialSpan) : health.avoidedUntil,
+				// One request probes whether a failed instance has recovered; other requests go elsewhere meanwhile.
+				avoidedUntil: health.failures > 0 ? Math.max(health.avoidedUntil, now + probeMs) : health.avoidedUntil,
 			};
 		}
 
@@ -48,7 +48,7 @@
 		}
 
 		case 'failed': {
-			const span = Math.min(avoidance.last, avoidance.first * (2 ** health.failures));
+			const span = Math.min(backoffMs.last, backoffMs.first * (2 ** health.failures));
 			return {...health, avoidedUntil: now + span, failures: health.failures + 1};
 		}
 	}
@@ -59,6 +59,6 @@
 		return seen ?? known;
 	}
 
-	// A position of an older log may follow one of a newer one when a replica was rolled back.
+	// Positions are compared only within a term, since a replica that was rolled back reports an earlier position.
 	return seen.term === known.term && comparePoints(known, seen) > 0 ? known : seen;
 }
--- a/packages/sessions/bootstrap-settle-ms.ts
+++ b/packages/sessions/bootstrap-settle-ms.ts
@@ -1,2 +1,2 @@
-/** Milliseconds in which all hosts of a fleet register that starts for the first time, so that each knows who does what. */
+/** Milliseconds within which all hosts of a new fleet register, so that every host ranks the same hosts. */
 export const bootstrapSettleMs = 600;
--- a/packages/sessions/bootstrap-stagger-ms.ts
+++ b/packages/sessions/bootstrap-stagger-ms.ts
@@ -1,5 +1,5 @@
 /**
- * Milliseconds by which each host waits longer than the one before it to name in the store what was never named there.
- * Long, since all hosts find it missing at the same moment, and callers come only later.
+ * Milliseconds by which each host waits longer than the host ranked before it to create a row that the store never had.
+ * The delay is long because all hosts find the row missing at the same moment, and callers arrive only later.
  */
 export const bootstrapStaggerMs = 1000;
--- a/packages/sessions/commit-fence.ts
+++ b/packages/sessions/commit-fence.ts
@@ -11,15 +11,15 @@
  *
  * @returns The fence; undefined when another host is first or the store does not answer.
  */
-export async function commitFence(replacement: Failover): Promise<Fence | undefined> {
-	const {group, self, store, log, now} = replacement;
+export async function commitFence(failover: Failover): Promise<Fence | undefined> {
+	const {group, self, store, log, now} = failover;
 	const before = await readFleetRows(store, log);
 	const row = before?.groups.get(group.name);
 	if (before === undefined || row === undefined) {
 		return undefined;
 	}
 
-	if (isTakenByOtherHost(before, replacement)) {
+	if (isTakenByOtherHost(before, failover)) {
 		return undefined;
 	}
 
--- a/packages/sessions/execute-promotion.ts
+++ b/packages/sessions/execute-promotion.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- rounds follow each other */
+/* eslint-disable no-await-in-loop -- rounds run one after another */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {comparePoints} from '@sapphirefall/decisions';
 import {chooseSuccessor} from './choose-successor.ts';
@@ -11,38 +11,42 @@
 import type {Failover} from './failover.ts';
 import type {Versioned} from './versioned.ts';
 
-/** Milliseconds between two rounds of questions to instances. */
-const roundInterval = 100;
+/** Milliseconds between two rounds of status requests to the instances. */
+const roundIntervalMs = 100;
 
-/** Milliseconds within which an instance must answer for its status. */
-const statusTimeout = 400;
+/** Milliseconds within which an instance must report its status. */
+const statusTimeoutMs = 400;
 
-/** Milliseconds for which a successor may still receive what the old primary has, when that is known. */
-const catchUpLimit = 1500;
+/** Milliseconds within which a replica may catch up with the old primary; also the time before a promotion order is repeated. */
+const catchUpLimitMs = 1500;
 
-/** Milliseconds after which a replacement is left to another host. */
-const replacementLimit = 11_000;
+/** Milliseconds after which this host abandons the failover to another host. */
+const failoverLimitMs = 11_000;
 
-/** The primary that leads now. */
+/** The new primary, and the group's row that names it as successor or as unchanged primary. */
 type Promoted = {
 	readonly row: Versioned<GroupRow>;
 	readonly instance: string;
 	readonly status: InstanceStatus;
 };
 
-/** Promotes the instance that is furthest ahead, and waits until it says that it leads. */
-export async function executePromotion(fence: Fence, replacement: Failover, step: (line: string, fields: Readonly<Record<string, unknown>>) => void): Promise<Promoted | undefined> {
-	const {group, now, orderPromotion, self} = replacement;
+/**
+ * Promotes the instance with the newest log and waits until it reports itself as the primary.
+ *
+ * @returns The new primary; undefined when another host changed the group's row or the time limit is reached.
+ */
+export async function executePromotion(fence: Fence, failover: Failover, step: (line: string, fields: Readonly<Record<string, unknown>>) => void): Promise<Promoted | undefined> {
+	const {group, now, orderPromotion, self} = failover;
 	let {row} = fence;
-	if (replacement.reason === 'departing' || replacement.reason === 'missing') {
-		await waitForCatchUp(fence, replacement);
+	if (failover.reason === 'departing' || failover.reason === 'missing') {
+		await waitForCatchUp(fence, failover);
 	}
 
 	let ordered: {readonly instance: string; readonly at: number} | undefined;
-	while (findElapsed(fence.at, now()) < replacementLimit) {
-		// Once a successor is named the old primary, which may be silent, has no say any more.
-		const answers = await readStatuses(replacement, row.successor === '' ? undefined : fence.row.primary);
-		const leader = findLeader(answers, row, replacement);
+	while (findElapsed(fence.at, now()) < failoverLimitMs) {
+		// Once a successor is stored, the old primary may no longer lead, and waiting for its status would cost time if it is silent.
+		const answers = await readStatuses(failover, row.successor === '' ? undefined : fence.row.primary);
+		const leader = findLeader(answers, row, failover);
 		if (leader !== undefined) {
 			return {row, instance: leader.id, status: leader.status};
 		}
@@ -50,13 +54,13 @@
 		const candidates = answers.filter(({id}) => id !== fence.row.primary);
 		const named = row.successor;
 		const successor = candidates.find(({id}) => id === named) ?? chooseSuccessor(candidates);
-		if (successor === undefined || (ordered?.instance === successor.id && now().steady - ordered.at < catchUpLimit)) {
-			await sleep(roundInterval);
+		if (successor === undefined || (ordered?.instance === successor.id && now().steady - ordered.at < catchUpLimitMs)) {
+			await sleep(roundIntervalMs);
 			continue;
 		}
 
 		if (row.successor !== successor.id) {
-			const outcome = await commitGroupRow(row, {...row, successor: successor.id}, replacement);
+			const outcome = await commitGroupRow(row, {...row, successor: successor.id}, failover);
 			if (outcome === undefined) {
 				return undefined;
 			}
@@ -67,66 +71,66 @@
 		const taken = await orderPromotion({
 			group: group.name, instance: successor.id, holder: self, token: row.token,
 		});
-		step('A promotion is ordered.', {
+		step('The host ordered a promotion.', {
 			successor: successor.id, term: successor.status.term, position: String(successor.status.received.position), taken,
 		});
 		ordered = {instance: successor.id, at: now().steady};
 		if (taken === 'refused') {
 			row = {...row, successor: ''};
 			ordered = undefined;
-			await sleep(roundInterval);
+			await sleep(roundIntervalMs);
 		}
 	}
 
 	return undefined;
 }
 
-type Answered = {readonly id: string; readonly status: InstanceStatus; readonly isDeparting: boolean};
+type Answer = {readonly id: string; readonly status: InstanceStatus; readonly isDeparting: boolean};
 
-async function readStatuses({group, workspace}: Failover, excluded?: string): Promise<readonly Answered[]> {
+async function readStatuses({group, workspace}: Failover, excluded?: string): Promise<readonly Answer[]> {
 	const instances = group.listInstances().filter(instance => instance.listed().id !== excluded);
 	const answers = await Promise.all(instances.map(async instance => {
 		const {id, isDeparting} = instance.listed();
-		const status = await readStatus(instance, {workspace, timeout: statusTimeout});
+		const status = await readStatus(instance, {workspace, timeout: statusTimeoutMs});
 		return status && {id, status, isDeparting};
 	}));
 	return answers.filter(answer => answer !== undefined);
 }
 
 /**
- * Finds an instance that leads already.
+ * Finds an instance that already leads and may become or stay the primary.
  *
- * Once a successor has been named, its promotion may have been ordered, so no other may lead. Before that the old
- * primary may go on if it was only silent, also as a new instance that took over its log.
+ * Once a successor is stored, its promotion may have been ordered, so no other instance may lead. Before that the old
+ * primary may stay if it was only silent, also as a new instance that took over its log.
  */
-function findLeader(answers: readonly Answered[], row: GroupRow, {reason}: Failover): Answered | undefined {
+function findLeader(answers: readonly Answer[], row: GroupRow, {reason}: Failover): Answer | undefined {
 	const newestTerm = Math.max(...answers.map(({status}) => status.term));
 	const leader = answers.find(({status}) => status.role === 'primary' && status.term === newestTerm);
 	if (row.successor !== '') {
 		return leader?.id === row.successor ? leader : undefined;
 	}
 
-	const mayStay = (reason === 'silent' || reason === 'abandoned') && leader?.isDeparting === false;
-	return mayStay ? leader : undefined;
+	const canStay = (reason === 'silent' || reason === 'abandoned') && leader?.isDeparting === false;
+	return canStay ? leader : undefined;
 }
 
-/** Lets the others receive what the old primary still has, if that answers; nothing is written there any more. */
-async function waitForCatchUp(fence: Fence, replacement: Failover): Promise<void> {
-	const {group, workspace, now} = replacement;
-	const old = group.findInstance(fence.row.primary);
-	const status = old && await readStatus(old, {workspace, timeout: statusTimeout});
+/** Waits until a replica has the whole log of the old primary, if that answers; the fence ensures that the log no longer grows. */
+async function waitForCatchUp(fence: Fence, failover: Failover): Promise<void> {
+	const {group, workspace, now} = failover;
+	const oldPrimary = group.findInstance(fence.row.primary);
+	const status = oldPrimary && await readStatus(oldPrimary, {workspace, timeout: statusTimeoutMs});
 	if (status?.role !== 'primary') {
 		return;
 	}
 
-	const until = now().steady + catchUpLimit;
+	const until = now().steady + catchUpLimitMs;
 	while (now().steady < until) {
-		const answers = await readStatuses(replacement);
+		const answers = await readStatuses(failover);
 		const isCaughtUp = answers.some(answer => answer.id !== fence.row.primary && !answer.isDeparting && comparePoints(answer.status.received, status.received) >= 0);
 		if (isCaughtUp) {
 			return;
 		}
 
-		await sleep(roundInterval);
+		await sleep(roundIntervalMs);
 	}
 }
--- a/packages/sessions/find-aligned-wait.ts
+++ b/packages/sessions/find-aligned-wait.ts
@@ -1,24 +1,24 @@
 type Options = {
-	/** Milliseconds between two moments at which calls end. */
+	/** Milliseconds between two points in time at which calls end. */
 	readonly intervalMs: number;
-	/** Milliseconds that the call may last at the most. */
+	/** Maximum duration of the call in milliseconds. */
 	readonly maxWaitMs: number;
-	/** Steady milliseconds. */
+	/** Milliseconds of the steady clock. */
 	readonly now: number;
 };
 
-/** Part of a period below which a call would be too short to be worth it. */
-const leastPart = 0.3;
+/** Fraction of an interval below which a call is too short to be worth its cost. */
+const minFraction = 0.3;
 
 /**
- * Finds how long a call may wait so that it ends with other calls of this host: what they tell is passed on once for all
- * of them.
+ * Finds how long a call to the store may wait so that it ends together with the other calls of this host, whose results
+ * are then passed on to other hosts at once.
  *
- * @returns Whole milliseconds, as calls to the store take no others.
+ * @returns Whole milliseconds, as the store accepts no fractions.
  */
-export function findAlignedWait({intervalMs: period, maxWaitMs: most, now}: Options): number {
-	const left = period - (now % period);
-	const aligned = left < period * leastPart ? left + period : left;
-	const more = Math.floor(Math.max(0, most - aligned) / period) * period;
-	return Math.ceil(aligned + more);
+export function findAlignedWait({intervalMs, maxWaitMs, now}: Options): number {
+	const remaining = intervalMs - (now % intervalMs);
+	const aligned = remaining < intervalMs * minFraction ? remaining + intervalMs : remaining;
+	const additional = Math.floor(Math.max(0, maxWaitMs - aligned) / intervalMs) * intervalMs;
+	return Math.ceil(aligned + additional);
 }
--- a/packages/sessions/fleet-controller.ts
+++ b/packages/sessions/fleet-controller.ts
@@ -2,18 +2,19 @@
 import type {FleetRows} from './fleet-rows.ts';
 import type {HostRow} from './host-row.ts';
 
-/** A host's part in the control of the fleet: its registration, and the replacement of primaries. */
+/** A host's membership in the fleet: registers the host, removes silent hosts, and replaces lost primaries. */
 export type FleetController = {
 	readonly updateFleet: (fleet: FleetRows) => void;
-	/** Looks for what is to be done. */
+	/** Registers the host and starts failovers where needed; called repeatedly. */
 	readonly step: () => void;
-	/** Registers this host in the store, which others see at once. */
+	/** Registers this host in the store. */
 	readonly register: () => Promise<void>;
+	/** Whether the store is known to hold the registration of this start of the process. */
 	readonly isRegistered: () => boolean;
-	/** Hosts that are registered, or were a short while ago. */
+	/** Hosts that are registered, or were within the lifetime of a lease. */
 	readonly listRecentHosts: () => readonly HostRow[];
 	readonly fenceGroup: FleetPeer['fenceGroup'];
 	readonly confirmSilence: FleetPeer['confirmSilence'];
-	/** Takes the registration back. */
+	/** Deletes this host's registration. */
 	readonly leave: () => Promise<void>;
 };
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -7,47 +7,48 @@
 import type {RateGrant} from './rate-grant.ts';
 import type {StoreTable} from './store-table.ts';
 
-/** What another host knows of the store and of the groups' primaries. */
-type PeerKnowledge = {
+/** Another host's copies of the store's tables, and the log positions that it knows of the groups' primaries. */
+type PeerTables = {
 	readonly tables: readonly PeerTable[];
 	readonly positions: readonly PositionOfAge[];
-	/** Milliseconds that the other host waited for a change before it answered; ages count from then. */
+	/** Milliseconds that the other host waited for a change before it answered; the ages in the answer are as of its end. */
 	readonly waitedMs: number;
 };
 
-/** Claims of a host to shares of the rates. */
+/** A host's claims to shares of the workspaces' rates. */
 type Claims = {
 	readonly host: string;
 	readonly incarnation: number;
-	/** Partition of the workspaces that the claims are for. */
+	/** Partition that the claimed workspaces belong to. */
 	readonly partition: number;
-	/** Epoch of the home that is asked. */
+	/** Epoch of the rate allocator that is called. */
 	readonly epoch: number;
 	readonly claims: readonly RateClaim[];
 };
 
-/** Shares that the home grants; undefined when the asked host is not the home. */
+/** Shares that the rate allocator grants, by workspace. */
 type Shares = {
 	readonly grants: ReadonlyMap<string, RateGrant>;
-	/** Milliseconds for which the shares hold, from when they were asked for. */
+	/** Milliseconds for which the grants are valid, from when they were requested. */
 	readonly span: number;
 };
 
-/** What hosts ask each other. Each call is undefined when no answer came. */
+/** Calls from this host to another one. Each call resolves to undefined when no answer came. */
 export type FleetPeer = {
 	/**
-	 * Asks for the tables, given what is known of them.
+	 * Requests the rows of the tables that changed, given what this host has of each table.
 	 *
-	 * The answer comes when rows change or proofs are renewed, and after `wait` milliseconds at the latest.
+	 * The other host answers when rows change or the store confirms its tables again, and after `wait` milliseconds at the latest.
 	 */
-	readonly readTables: (asked: ReadonlyMap<StoreTable, AskedTable>, wait: number) => Promise<PeerKnowledge | undefined>;
+	readonly readTables: (asked: ReadonlyMap<StoreTable, AskedTable>, wait: number) => Promise<PeerTables | undefined>;
+	/** Claims shares of the workspaces' rates; `notHome` when the other host is not the rate allocator. */
 	readonly claimRates: (claims: Claims) => Promise<Shares | 'notHome' | undefined>;
-	/** Asks the host to give up the primary of a group before an epoch; true once it has. */
+	/** Asks the host to release its lease on the primary of a group from before an epoch; resolves to true once it has. */
 	readonly fenceGroup: (group: string, epoch: number) => Promise<boolean | undefined>;
-	/** Whether the host hears nothing of an instance either. */
+	/** Asks whether the host gets no answer from an instance either. */
 	readonly confirmSilence: (group: string, instance: string) => Promise<boolean | undefined>;
-	/** Runs a job on one of the host's connections; `notServed` when the host takes no such work now. */
+	/** Runs a job on one of the host's connections; `notServed` when the host accepts no jobs for the instance now. */
 	readonly runJob: (instance: {readonly group: string; readonly id: string}, job: Job) => Promise<JobAnswer | 'notServed' | undefined>;
-	/** Whether the host answers at all. */
+	/** Checks whether the host is reachable. */
 	readonly ping: () => Promise<boolean | undefined>;
 };
--- a/packages/sessions/instance-health.ts
+++ b/packages/sessions/instance-health.ts
@@ -1,19 +1,19 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 
-/** What a host has seen of an instance; times in steady milliseconds. */
+/** What a host has observed of an instance; times are in milliseconds of the steady clock. */
 export type InstanceHealth = {
-	/** Smoothed milliseconds from request to answer. */
+	/** Moving average of the milliseconds from request to answer. */
 	readonly latency: number;
-	/** When an answer last came. */
+	/** When the last answer arrived. */
 	readonly lastAnswerAt: number;
-	/** When something was first sent that is not answered yet; undefined while nothing is. */
+	/** When the first request was sent since the last answer; undefined when no request is unanswered. */
 	readonly unansweredSince: number | undefined;
-	/** Until when the instance is used only if no other can be. */
+	/** Until when the instance is used only if no other is available. */
 	readonly avoidedUntil: number;
-	/** Failures without an answer between them. */
+	/** Number of failures since the last answer. */
 	readonly failures: number;
-	/** Newest position that its log is known to hold. */
+	/** Newest position that the instance's log is known to contain. */
 	readonly position: LogPoint | undefined;
-	/** When it last said that it lacks a position, and which. */
+	/** When the instance last reported that it lacks a position, and which. */
 	readonly lastLag: {readonly at: number; readonly missingPosition: LogPoint} | undefined;
 };
--- a/packages/sessions/instance-status.ts
+++ b/packages/sessions/instance-status.ts
@@ -1,10 +1,10 @@
 import type {LogPoint} from '@sapphirefall/decisions';
 
-/** What an instance says of itself. */
+/** Status that an instance reports. */
 export type InstanceStatus = {
 	readonly role: 'primary' | 'replica';
-	/** Newest term that it knows. */
+	/** Newest term that the instance knows. */
 	readonly term: number;
-	/** End of what it has received. */
+	/** Last position of the log that the instance has received. */
 	readonly received: LogPoint;
 };
--- a/packages/sessions/is-answering.ts
+++ b/packages/sessions/is-answering.ts
@@ -1,23 +1,23 @@
 import type {InstanceRuntime} from './instance-runtime.ts';
 
 type Options = {
-	/** Workspace in whose name the instance is asked. */
+	/** Workspace whose connections are used. */
 	readonly workspace: string;
-	/** Milliseconds. */
+	/** Milliseconds within which the instance must answer. */
 	readonly timeout: number;
 };
 
-/** Asks an instance for a sign of life, by a message that takes no slot. */
+/** Checks whether an instance answers a message that takes no slot. */
 export async function isAnswering(instance: InstanceRuntime, options: Options): Promise<boolean> {
 	const deadline = new Promise<boolean>(resolve => {
 		setTimeout(() => {
 			resolve(false);
 		}, options.timeout);
 	});
-	return Promise.race([askInstance(instance, options), deadline]);
+	return Promise.race([sendReset(instance, options), deadline]);
 }
 
-async function askInstance(instance: InstanceRuntime, {workspace, timeout}: Options): Promise<boolean> {
+async function sendReset(instance: InstanceRuntime, {workspace, timeout}: Options): Promise<boolean> {
 	const acquired = await instance.pool.acquire({workspace, priority: 0, timeout});
 	if (acquired.kind !== 'acquired') {
 		return acquired.kind === 'busy' && instance.health().unansweredSince === undefined;
--- a/packages/sessions/is-majority-silent.test.ts
+++ b/packages/sessions/is-majority-silent.test.ts
@@ -5,12 +5,12 @@
 
 describe('isMajoritySilent', () => {
 	const cases = [
-		{name: 'agrees when all zones hear nothing', given: 'a- b- c-', expected: true},
-		{name: 'does not let one zone decide, which may be cut off', given: 'a- a- a-', expected: false},
+		{name: 'agrees when no zone gets an answer', given: 'a- b- c-', expected: true},
+		{name: 'does not let one zone decide, as it may be partitioned', given: 'a- a- a-', expected: false},
 		{name: 'does not let a minority decide', given: 'a- b- c+ c+ a+', expected: false},
 		{name: 'needs more than half', given: 'a- b- c+ c+', expected: false},
-		{name: 'agrees when most hear nothing', given: 'a- b- a- c+ c+', expected: true},
-		{name: 'never agrees alone', given: 'a-', expected: false},
+		{name: 'agrees when most hosts get no answer', given: 'a- b- a- c+ c+', expected: true},
+		{name: 'does not let a single host decide', given: 'a-', expected: false},
 	];
 	for (const {name, given, expected} of cases) {
 		it(name, () => {
--- a/packages/sessions/is-majority-silent.ts
+++ b/packages/sessions/is-majority-silent.ts
@@ -1,13 +1,13 @@
-/** What a host says of an instance. */
+/** Whether a host gets no answer from an instance, and the host's zone. */
 type Vote = {
 	readonly zone: string;
 	readonly isSilent: boolean;
 };
 
 /**
- * Whether the hosts that answered agree that an instance is silent: more than half of them, from two zones.
+ * Checks whether more than half of the votes, from at least two zones, say that an instance is silent.
  *
- * One zone alone may be cut off, and a few hosts may have lost their way to the instance.
+ * A whole zone may be partitioned from the instance, and single hosts may have lost their connection to it.
  */
 export function isMajoritySilent(votes: readonly Vote[]): boolean {
 	const silent = votes.filter(({isSilent}) => isSilent);
--- a/packages/sessions/parse-status.ts
+++ b/packages/sessions/parse-status.ts
@@ -1,6 +1,6 @@
 import type {InstanceStatus} from './instance-status.ts';
 
-/** Parses the row in which an instance tells its role, newest term, and received position. */
+/** Parses the status row of an instance, `<role> <newest term> <term>.<number>`; undefined when it is malformed. */
 export function parseStatus(row: string): InstanceStatus | undefined {
 	const [role, term, position = ''] = row.split(' ');
 	const match = /^(?<term>\d+)\.(?<number>\d+)$/v.exec(position);
--- a/packages/sessions/read-status.ts
+++ b/packages/sessions/read-status.ts
@@ -4,18 +4,18 @@
 import {parseStatus} from './parse-status.ts';
 
 type Options = {
-	/** Workspace in whose name the instance is asked. */
+	/** Workspace whose connections are used. */
 	readonly workspace: string;
-	/** Milliseconds. */
+	/** Milliseconds within which the instance must answer. */
 	readonly timeout: number;
 };
 
-/** Asks an instance for its role and the end of its log; undefined when it does not answer in time. */
+/** Requests the role, term and last log position of an instance; undefined when it does not answer in time. */
 export async function readStatus(instance: InstanceRuntime, options: Options): Promise<InstanceStatus | undefined> {
-	return Promise.race([askStatus(instance, options), sleep(options.timeout, undefined)]);
+	return Promise.race([requestStatus(instance, options), sleep(options.timeout, undefined)]);
 }
 
-async function askStatus(instance: InstanceRuntime, {workspace, timeout}: Options): Promise<InstanceStatus | undefined> {
+async function requestStatus(instance: InstanceRuntime, {workspace, timeout}: Options): Promise<InstanceStatus | undefined> {
 	const acquired = await instance.pool.acquire({workspace, priority: 0, timeout});
 	if (acquired.kind !== 'acquired') {
 		return undefined;
--- a/packages/sessions/wait-for-expected-primary.ts
+++ b/packages/sessions/wait-for-expected-primary.ts
@@ -1,7 +1,7 @@
 import type {Operation} from './operation.ts';
 import type {PrimaryView} from './primary-view.ts';
 
-/** Waits for the primary of an operation's group only if it should be there within `limit` milliseconds. */
+/** Waits for the primary of an operation's group, but only if it is expected within `limit` milliseconds; otherwise returns at once. */
 export async function waitForExpectedPrimary({group, context, trace}: Pick<Operation, 'group' | 'context' | 'trace'>, limit: number): Promise<PrimaryView> {
 	const view = group.primary();
 	if (view.kind === 'leased' || view.retryAfter > limit) {
--- a/packages/sessions/wait-for-hosts.ts
+++ b/packages/sessions/wait-for-hosts.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- rounds follow each other */
+/* eslint-disable no-await-in-loop -- rounds run one after another */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Fence} from './fence.ts';
 import {findFenceRemaining} from './find-fence-remaining.ts';
@@ -12,8 +12,8 @@
  *
  * @returns Names of the hosts that did not acknowledge the fence, whose leases had to expire.
  */
-export async function waitForHosts({row, hosts, at}: Fence, replacement: Failover): Promise<readonly string[]> {
-	const {group, self, now, findPeer, listRecentHosts} = replacement;
+export async function waitForHosts({row, hosts, at}: Fence, failover: Failover): Promise<readonly string[]> {
+	const {group, self, now, findPeer, listRecentHosts} = failover;
 	group.fence(row.epoch);
 	const pending = new Set([...hosts, ...listRecentHosts()].map(({name}) => name));
 	pending.delete(self);
