--- a/packages/sessions/apply-observation.ts
+++ b/packages/sessions/apply-observation.ts
@@ -4,7 +4,7 @@
 /** An event between this host and an instance. */
 type Observation =
 	| {readonly kind: 'sent'}
-	/** `latency` is in milliseconds, and undefined unless a statement took a slot. */
+	/** `latency`, in milliseconds, is taken into account only for statements that took a slot. */
 	| {readonly kind: 'answered'; readonly latency: number | undefined; readonly position: LogPoint | undefined}
 	| {readonly kind: 'lagging'; readonly missingPosition: LogPoint}
 	/** A connection was lost or could not be opened, or an answer timed out. */
@@ -59,6 +59,6 @@
 		return seen ?? known;
 	}
 
-	// Positions are compared only within a term, since a replica that was rolled back reports an earlier position.
+	// Across terms the position seen last counts: a replica that was rolled back may go from a newer log to an older one.
 	return seen.term === known.term && comparePoints(known, seen) > 0 ? known : seen;
 }
--- a/packages/sessions/choose-source.test.ts
+++ b/packages/sessions/choose-source.test.ts
@@ -15,25 +15,25 @@
 describe('chooseSource', () => {
 	const cases = [
 		{
-			name: 'reads the store for the whole fleet', self: fleetReader, avoided: [], expected: fleetReader,
+			name: 'lets the fleet reader read the store', self: fleetReader, avoided: [], expected: fleetReader,
 		},
 		{
-			name: 'asks the reader of the fleet on behalf of a zone', self: zoneReader, avoided: [], expected: fleetReader,
+			name: 'lets a zone reader read from the fleet reader', self: zoneReader, avoided: [], expected: fleetReader,
 		},
 		{
-			name: 'asks the first host of its zone', self: next, avoided: [], expected: zoneReader,
+			name: 'lets other hosts read from the reader of their zone', self: next, avoided: [], expected: zoneReader,
 		},
 		{
-			name: 'reads for its zone when the reader of the fleet knows too little', self: zoneReader, avoided: [fleetReader], expected: zoneReader,
+			name: 'lets a zone reader read the store when the fleet reader is avoided', self: zoneReader, avoided: [fleetReader], expected: zoneReader,
 		},
 		{
-			name: 'takes the place of the first of its zone when that knows too little', self: next, avoided: [zoneReader], expected: fleetReader,
+			name: 'lets the next host of a zone replace an avoided zone reader', self: next, avoided: [zoneReader], expected: fleetReader,
 		},
 		{
-			name: 'reads for its zone when neither knows enough', self: next, avoided: [zoneReader, fleetReader], expected: next,
+			name: 'lets the next host of a zone read the store when both readers are avoided', self: next, avoided: [zoneReader, fleetReader], expected: next,
 		},
 		{
-			name: 'reads itself when nobody knows enough', self: zoneReader, avoided: names, expected: zoneReader,
+			name: 'reads the store when all hosts are avoided', self: zoneReader, avoided: names, expected: zoneReader,
 		},
 	];
 	for (const {name, self, avoided, expected} of cases) {
@@ -42,12 +42,12 @@
 		});
 	}
 
-	it('asks another zone when none of its own knows enough, not even itself', () => {
+	it('reads from another zone when all hosts of its own are avoided, including itself', () => {
 		const local = names.filter(name => name.startsWith(zone));
 		expect(choose(zoneReader, local)).to.not.match(new RegExp(`^${zone}`, 'v'));
 	});
 
-	it('asks the store where no host is known', () => {
+	it('reads the store when no host is known', () => {
 		expect(chooseSource({
 			self: 'a1', zone: 'a', hosts: [], avoidedUntil: new Map(), now: 0,
 		})).to.equal('a1');
--- a/packages/sessions/choose-source.ts
+++ b/packages/sessions/choose-source.ts
@@ -6,18 +6,19 @@
 	readonly self: string;
 	readonly zone: string;
 	readonly hosts: ReadonlyArray<Pick<HostRow, 'name' | 'zone'>>;
-	/** Until when a host is not asked, in steady milliseconds, because it did not know enough. */
+	/** Until when a host is not read from because its data was not fresh enough, in milliseconds of the steady clock. */
 	readonly avoidedUntil: ReadonlyMap<string, number>;
-	/** Steady milliseconds. */
+	/** Milliseconds of the steady clock. */
 	readonly now: number;
 };
 
 /**
- * Chooses the host from which this one learns what the store holds; itself when it is to read the store.
+ * Chooses the host from which this host gets the store's tables; this host itself when it is to read the store.
  *
- * One host reads for the fleet. The first host of each zone asks it, and reads for its zone if it does not know enough;
- * the others ask that one. So calls to the store grow with neither hosts nor zones. Hosts of other zones are asked only
- * when none of the own zone knows enough.
+ * One host, the fleet reader, reads the store. The first usable host of each zone, the zone reader, reads from the fleet
+ * reader, or from the store while the fleet reader is not usable. All other hosts read from their zone reader. The number
+ * of calls to the store therefore grows with neither hosts nor zones. A host reads from another zone only when no host of
+ * its own zone is usable.
  */
 export function chooseSource({self, zone, hosts, avoidedUntil, now}: Options): string {
 	const isUsable = (name: string) => (avoidedUntil.get(name) ?? 0) <= now;
--- a/packages/sessions/create-fleet-controller.ts
+++ b/packages/sessions/create-fleet-controller.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- steps run one after another */
 import {rankHosts} from '@sapphirefall/decisions';
 import {bootstrapStaggerMs} from './bootstrap-stagger-ms.ts';
 import type {FleetController} from './fleet-controller.ts';
@@ -23,56 +23,60 @@
 import type {Versioned} from './versioned.ts';
 
 type Options = {
+	/** Registration of this host. */
 	readonly own: HostRow;
 	readonly store: Store;
-	/** Hosts that connect to an instance, best first. */
+	/** Hosts that connect to an instance, by rank. */
 	readonly listGateways: (instance: ListedInstance) => readonly string[];
 	readonly listGroups: () => readonly SessionGroup[];
 	readonly listInstances: () => readonly ListedInstance[];
-	/** Whether what the platform lists is known to be recent. */
+	/** Whether the platform's list of instances is recent enough to act on. */
 	readonly isListFresh: () => boolean;
 	readonly findPeer: (host: string) => FleetPeer | undefined;
 	readonly orderPromotion: OrderPromotion;
-	/** Registered hosts that have not been heard of for long, as far as this host has to know. */
+	/** Registered hosts that have been silent for long, of those that this host monitors. */
 	readonly listSilentHosts: () => readonly string[];
-	/** Workspace in whose name instances are asked. */
+	/** Workspace whose connections are used to query instances. */
 	readonly findWorkspace: () => string | undefined;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
 };
 
 /** Milliseconds for which a host that is no longer registered may still hold leases. */
-const recentSpan = 6000;
+const unregisteredLeaseMs = 6000;
 
-/** Milliseconds by which each host waits longer than the one before it, so that one alone replaces a primary. */
-const placeDelay = 300;
+/** Milliseconds by which each host waits longer than the host ranked before it, so that only one replaces a primary. */
+const rankDelayMs = 300;
 
-/** Milliseconds within which an instance must answer when another host asks about it. */
-const confirmTimeout = 300;
+/** Milliseconds within which an instance must answer when this host checks whether it is silent. */
+const confirmTimeoutMs = 300;
 
-/** Milliseconds between two tries to register, or to name a first primary. */
-const retryInterval = 500;
+/** Milliseconds between two attempts to register, to remove silent hosts, or to store a first primary. */
+const retryIntervalMs = 500;
 
-/** Hosts that are asked about a silent primary at most. */
-const votersLimit = 12;
+/** Maximum number of other hosts that vote on whether a primary is silent. */
+const maxVoters = 12;
 
-/** Creates a host's part in the control of the fleet. */
+/** Creates the fleet controller of a host; see `FleetController`. */
 export function createFleetController(options: Options): FleetController {
 	const {own, store, now, log} = options;
-	const recent = new Map<string, {readonly row: HostRow; readonly seenAt: number}>();
+	/** Hosts by name, and when each was last seen registered, in milliseconds of the steady clock. */
+	const seenHosts = new Map<string, {readonly row: HostRow; readonly seenAt: number}>();
+	/** Current reason to replace each group's primary, and since when, in milliseconds of the steady clock. */
 	const reasonSince = new Map<string, {readonly reason: FailoverReason; readonly since: number}>();
+	/** Groups whose primary this host is replacing. */
 	const busyGroups = new Set<string>();
 	let fleet: FleetRows | undefined;
-	/** Hosts that are marked as gone, and since when in steady milliseconds. */
-	const marked = new Map<string, number>();
-	/** Since when the fleet's rows are known, in steady milliseconds. */
+	/** Hosts that are marked as gone, and since when, in milliseconds of the steady clock. */
+	const markedSince = new Map<string, number>();
+	/** When the fleet's rows first became known, in milliseconds of the steady clock. */
 	let knownSince = Number.POSITIVE_INFINITY;
-	let triedAt = Number.NEGATIVE_INFINITY;
+	let attemptedAt = Number.NEGATIVE_INFINITY;
 
-	/** Milliseconds for which this host leaves it to others to name a group's first primary. */
-	const findFirstDelay = (group: string) => {
-		const place = rankHosts(`first/${group}`, [...fleet?.hosts.keys() ?? []]).indexOf(own.name);
-		return bootstrapSettleMs + (Math.max(0, place) * bootstrapStaggerMs);
+	/** Finds the milliseconds for which this host lets others store a group's first primary. */
+	const findBootstrapDelay = (group: string) => {
+		const rank = rankHosts(`first/${group}`, [...fleet?.hosts.keys() ?? []]).indexOf(own.name);
+		return bootstrapSettleMs + (Math.max(0, rank) * bootstrapStaggerMs);
 	};
 
 	const isRegistered = () => fleet?.hosts.get(own.name)?.incarnation === own.incarnation;
@@ -80,11 +84,11 @@
 	const register = async () => {
 		const key = `${fleetKeys.hostPrefix}${own.name}`;
 		const outcome = await store.commit({expected: new Map(), values: new Map([[key, JSON.stringify(own)]])});
-		log.info({incarnation: own.incarnation, outcome: outcome.kind}, 'host: The host registers in the store.');
+		log.info({incarnation: own.incarnation, outcome: outcome.kind}, 'host: The host tried to register in the store.');
 	};
 
-	/** Names the first primary of a group that has none in the store, as the instances see themselves. */
-	const nameFirstPrimary = async (group: string) => {
+	/** Stores the first primary of a group that has none in the store: the instance that reports this role in the platform's list. */
+	const commitFirstPrimary = async (group: string) => {
 		const primary = options.listInstances().find(entry => entry.group === group && entry.role === 'primary' && !entry.isDeparting);
 		if (primary === undefined) {
 			return;
@@ -95,10 +99,10 @@
 			epoch: 1, state: 'serving', primary: primary.id, successor: '', holder: own.name, token: 0,
 		};
 		const outcome = await store.commit({expected: new Map([[key, 0]]), values: new Map([[key, JSON.stringify(row)]])});
-		log.info({group, primary: primary.id, outcome: outcome.kind}, 'group: The first primary is named in the store.');
+		log.info({group, primary: primary.id, outcome: outcome.kind}, 'group: The host tried to store the first primary.');
 	};
 
-	const findPlace = (primary: ListedInstance | undefined) => findFailoverRank({
+	const findRank = (primary: ListedInstance | undefined) => findFailoverRank({
 		self: own.name,
 		zone: primary?.zone ?? '',
 		hosts: [...fleet?.hosts.values() ?? []],
@@ -106,35 +110,35 @@
 		hasFailoverLock: [...fleet?.groups.values() ?? []].some(row => row.state === 'fencing' && row.holder === own.name && busyGroups.size > 0),
 	});
 
-	/** Whether this host hears nothing of an instance, after asking it if there is no evidence yet. */
-	const hearsNothing = async (groupName: string, id: string): Promise<boolean> => {
+	/** Checks whether an instance is silent for this host; sends a request if past ones do not tell. */
+	const isInstanceSilent = async (groupName: string, id: string): Promise<boolean> => {
 		const instance = options.listGroups().find(({name}) => name === groupName)?.findInstance(id);
 		const workspace = options.findWorkspace();
 		if (instance === undefined || workspace === undefined) {
 			return false;
 		}
 
-		const {lastAnswerAt: heardAt, unansweredSince} = instance.health();
+		const {lastAnswerAt, unansweredSince} = instance.health();
 		const at = now().steady;
-		if (unansweredSince !== undefined && at - unansweredSince > confirmTimeout) {
+		if (unansweredSince !== undefined && at - unansweredSince > confirmTimeoutMs) {
 			return true;
 		}
 
-		return at - heardAt >= confirmTimeout && !await isAnswering(instance, {workspace, timeout: confirmTimeout});
+		return at - lastAnswerAt >= confirmTimeoutMs && !await isAnswering(instance, {workspace, timeout: confirmTimeoutMs});
 	};
 
-	/** Asks other hosts whether they hear nothing of a primary either. */
+	/** Checks by a vote of this host and others whether a primary is silent. */
 	const isConfirmed = async (group: string, primary: string): Promise<boolean> => {
-		const others = rankHosts(`vote/${group}`, [...fleet?.hosts.keys() ?? []]).filter(name => name !== own.name).slice(0, votersLimit);
+		const others = rankHosts(`vote/${group}`, [...fleet?.hosts.keys() ?? []]).filter(name => name !== own.name).slice(0, maxVoters);
 		const votes = await Promise.all([own.name, ...others].map(async name => {
-			const isSilent = name === own.name ? await hearsNothing(group, primary) : await options.findPeer(name)?.confirmSilence(group, primary);
+			const isSilent = name === own.name ? await isInstanceSilent(group, primary) : await options.findPeer(name)?.confirmSilence(group, primary);
 			return isSilent === undefined ? undefined : {zone: fleet?.hosts.get(name)?.zone ?? '', isSilent};
 		}));
 		const answered = votes.filter(vote => vote !== undefined);
 		const isSilent = isMajoritySilent(answered);
 		log.info({
 			group, primary, answered: answered.length, silent: answered.filter(vote => vote.isSilent).length, isSilent,
-		}, 'failover: Other hosts were asked about a silent primary.');
+		}, 'failover: The host asked other hosts about a silent primary.');
 		return isSilent;
 	};
 
@@ -150,8 +154,8 @@
 	};
 
 	/**
-	 * Takes hosts that are gone out of the store, in two steps: a host that is marked gets no lease any more, and
-	 * its row is dropped when the leases that it may still have are over.
+	 * Removes silent hosts from the store in two steps: a host that is marked as gone gets no further leases, and its row
+	 * is dropped once the leases that it may still hold have expired.
 	 */
 	const removeSilentHosts = async () => {
 		const at = now().steady;
@@ -159,20 +163,21 @@
 			const row = fleet?.hosts.get(name);
 			if (row !== undefined) {
 				await changeHost(row, {...row, isGone: true});
-				marked.set(name, at);
+				markedSince.set(name, at);
 			}
 		}
 
 		for (const row of isRemover() ? fleet?.goneHosts.values() ?? [] : []) {
-			const markedAt = marked.get(row.name) ?? at;
-			marked.set(row.name, markedAt);
-			if (at - markedAt > recentSpan) {
+			const markedAt = markedSince.get(row.name) ?? at;
+			markedSince.set(row.name, markedAt);
+			if (at - markedAt > unregisteredLeaseMs) {
 				await changeHost(row, undefined);
-				marked.delete(row.name);
+				markedSince.delete(row.name);
 			}
 		}
 	};
 
+	/** Whether this host drops the rows of gone hosts: the allocator of rate partition 0, so that only one host does. */
 	const isRemover = () => fleet?.rateHomes.get(0)?.holder === own.name;
 
 	const changeHost = async ({version, name}: Versioned<HostRow>, value: HostRow | undefined) => {
@@ -181,11 +186,11 @@
 			expected: new Map([[key, version]]),
 			values: new Map([[key, value && JSON.stringify({...value, version: undefined})]]),
 		});
-		log.info({name, isDropped: value === undefined, outcome: outcome.kind}, 'host: A host that was not heard of for long is taken out of the store.');
+		log.info({name, isDropped: value === undefined, outcome: outcome.kind}, 'host: The host tried to mark a silent host as gone in the store, or to drop its row.');
 	};
 
-	const listRecentHosts = () => [...recent.values()]
-		.filter(({seenAt}) => now().steady - seenAt < recentSpan)
+	const listRecentHosts = () => [...seenHosts.values()]
+		.filter(({seenAt}) => now().steady - seenAt < unregisteredLeaseMs)
 		.map(({row}) => row);
 
 	const stepGroup = (group: SessionGroup) => {
@@ -205,17 +210,17 @@
 			isListFresh: options.isListFresh(),
 			now: at,
 		});
-		const before = reasonSince.get(group.name);
+		const previous = reasonSince.get(group.name);
 		if (reason === undefined) {
 			reasonSince.delete(group.name);
 			return;
 		}
 
-		if (before?.reason !== reason) {
+		if (previous?.reason !== reason) {
 			reasonSince.set(group.name, {reason, since: at});
 		}
 
-		if (at - (before?.reason === reason ? before.since : at) >= findPlace(instance?.listed()) * placeDelay) {
+		if (at - (previous?.reason === reason ? previous.since : at) >= findRank(instance?.listed()) * rankDelayMs) {
 			reasonSince.delete(group.name);
 			busyGroups.add(group.name);
 			void replace(group, row.primary, reason).finally(() => { // eslint-disable-line promise/prefer-await-to-then
@@ -229,21 +234,21 @@
 			knownSince = Math.min(knownSince, now().steady);
 			fleet = newer;
 			for (const row of newer.hosts.values()) {
-				recent.set(row.name, {row, seenAt: now().steady});
+				seenHosts.set(row.name, {row, seenAt: now().steady});
 			}
 		},
 		step() {
 			const at = now().steady;
-			if (fleet !== undefined && at - triedAt > retryInterval) {
-				triedAt = at;
+			if (fleet !== undefined && at - attemptedAt > retryIntervalMs) {
+				attemptedAt = at;
 				void removeSilentHosts();
 				if (!isRegistered()) {
 					void register();
 				}
 
 				for (const group of options.listGroups()) {
-					if (!fleet.groups.has(group.name) && at - knownSince > findFirstDelay(group.name)) {
-						void nameFirstPrimary(group.name);
+					if (!fleet.groups.has(group.name) && at - knownSince > findBootstrapDelay(group.name)) {
+						void commitFirstPrimary(group.name);
 					}
 				}
 			}
@@ -262,7 +267,7 @@
 			known?.fence(epoch);
 			return known !== undefined;
 		},
-		confirmSilence: hearsNothing,
+		confirmSilence: isInstanceSilent,
 		async leave() {
 			const key = `${fleetKeys.hostPrefix}${own.name}`;
 			const row = fleet?.hosts.get(own.name);
--- a/packages/sessions/create-source-selector.ts
+++ b/packages/sessions/create-source-selector.ts
@@ -11,45 +11,45 @@
 	readonly log: SessionLog;
 };
 
-/** From which host this one learns what the store holds, and which it leaves alone for a while. */
+/** Selects the host from which this host gets the store's tables, and backs off from hosts whose data is not fresh enough. */
 type SourceSelector = {
-	/** The present source; this host itself when it is to read the store. */
+	/** Returns the current source; this host itself when it is to read the store. */
 	readonly choose: () => string;
-	/** Takes note that a source did not know enough. */
+	/** Avoids a source for a while because its data was not fresh enough, for longer each time. */
 	readonly backOff: (source: string) => void;
-	/** Takes note that a source knew enough. */
+	/** Resets the backoff of a source because its data was fresh enough. */
 	readonly resetBackoff: (source: string) => void;
 };
 
-/** Milliseconds for which a source that does not know enough is not asked: the first time, and at the most. */
-const avoidance = {first: 2000, last: 10_000};
+/** Milliseconds for which a source is avoided the first time, and the limit to which that time doubles. */
+const backoffMs = {first: 2000, last: 10_000};
 
-/** Creates a host's choice of a source; see `chooseSource`. */
+/** Creates a host's source selector; see `chooseSource` for the order of preference. */
 export function createSourceSelector({
 	self, zone, listHosts, now, log,
 }: Options): SourceSelector {
 	const avoidedUntil = new Map<string, number>();
-	/** For how long sources were avoided last; forgotten once they know enough. */
+	/** Milliseconds for which each source was last avoided, until its backoff is reset. */
 	const lastSpans = new Map<string, number>();
-	let last = '';
+	let lastSource = '';
 
 	return {
 		choose() {
 			const source = chooseSource({
 				self, zone, hosts: listHosts(), avoidedUntil, now: now().steady,
 			});
-			if (source !== last) {
-				log.info({source, previous: last}, 'store: What the store holds is learned from another source.');
-				last = source;
+			if (source !== lastSource) {
+				log.info({source, previous: lastSource}, 'store: The host switched to another source for the tables of the store.');
+				lastSource = source;
 			}
 
 			return source;
 		},
 		backOff(source) {
-			const span = Math.min(avoidance.last, (lastSpans.get(source) ?? avoidance.first / 2) * 2);
+			const span = Math.min(backoffMs.last, (lastSpans.get(source) ?? backoffMs.first / 2) * 2);
 			lastSpans.set(source, span);
 			avoidedUntil.set(source, now().steady + span);
-			log.info({source, span}, 'store: A source that does not know enough is not asked for a while.');
+			log.info({source, span}, 'store: The host avoids a source whose data is not fresh enough.');
 		},
 		resetBackoff(source) {
 			lastSpans.delete(source);
--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -9,12 +9,12 @@
 import type {SessionGroup} from './session-group.ts';
 import type {Store} from './store.ts';
 
-/** What an instance says of itself, by its id; undefined for one that is silent. */
-type Says = Readonly<Record<string, string | undefined>>;
+/** Status rows of the instances, by id; undefined for an instance that is silent. */
+type Statuses = Readonly<Record<string, string | undefined>>;
 
 const now = () => ({steady: performance.now(), wall: Date.now()});
 
-function createInstance(id: string, says: () => string | undefined): InstanceRuntime {
+function createInstance(id: string, readStatus: () => string | undefined): InstanceRuntime {
 	const link: PooledLink = {
 		link: {
 			send: async () => ({kind: 'lost', reason: ''}),
@@ -28,7 +28,7 @@
 		idleSince: 0,
 	};
 	const answer = (): InstanceAnswer => ({
-		kind: 'answered', outcome: {kind: 'done', rows: [says() ?? ''], signature: '-'}, state: 'idle', position: undefined,
+		kind: 'answered', outcome: {kind: 'done', rows: [readStatus() ?? ''], signature: '-'}, state: 'idle', position: undefined,
 	});
 	return {
 		listed: () => ({
@@ -37,10 +37,10 @@
 		reach: () => undefined,
 		update: () => undefined,
 		health() {
-			throw new Error('The health is not asked for');
+			throw new Error('The test reads no health');
 		},
 		pool: {
-			acquire: async () => says() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', link, openSpan: 0},
+			acquire: async () => readStatus() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', link, openSpan: 0},
 			release: () => undefined,
 			takeIdle: () => undefined,
 			load: () => ({
@@ -52,16 +52,16 @@
 		},
 		send: async () => answer(),
 		run() {
-			throw new Error('No job is run');
+			throw new Error('The test runs no jobs');
 		},
 		runLocally() {
-			throw new Error('No job is run');
+			throw new Error('The test runs no jobs');
 		},
 		noteLag: () => undefined,
 	};
 }
 
-/** A store with the rows of one group, which may lose the answers of commits. */
+/** Creates a store with the row of one group; `isLosing` makes it lose the answers to commits. */
 function createStore(row: GroupRow, isLosing: boolean): {readonly store: Store; readonly find: () => GroupRow} {
 	const rows = new Map([[`${fleetKeys.groupPrefix}pondbook`, {value: JSON.stringify(row), version: 1}]]);
 	let version = 1;
@@ -92,17 +92,17 @@
 }
 
 type Case = {
-	readonly says: Says;
-	/** What is said after the order of promotion. */
-	readonly saysAfter: Says;
+	readonly statuses: Statuses;
+	/** Status rows after the promotion order. */
+	readonly statusesAfter: Statuses;
 	readonly reason?: Failover['reason'];
 	readonly isLosing?: boolean;
 };
 
-async function runReplacement({says, saysAfter, reason = 'silent', isLosing = false}: Case) {
+async function runFailover({statuses, statusesAfter, reason = 'silent', isLosing = false}: Case) {
 	const ordered: string[] = [];
-	const find = (id: string) => (ordered.length > 0 ? saysAfter : says)[id];
-	const instances = Object.keys(says).map(id => createInstance(id, () => find(id)));
+	const find = (id: string) => (ordered.length > 0 ? statusesAfter : statuses)[id];
+	const instances = Object.keys(statuses).map(id => createInstance(id, () => find(id)));
 	const {store, find: findRow} = createStore({
 		epoch: 1, state: 'serving', primary: 'i-old', successor: '', holder: 'a1', token: 0,
 	}, isLosing);
@@ -134,43 +134,43 @@
 describe('replacePrimary', () => {
 	const cases = [
 		{
-			name: 'promotes the instance that is furthest ahead',
+			name: 'promotes the instance with the newest log',
 			given: {
-				says: {'i-old': undefined, 'i-b': 'replica 1 1.7', 'i-c': 'replica 1 1.9'},
-				saysAfter: {'i-old': undefined, 'i-b': 'replica 2 1.7', 'i-c': 'primary 2 1.9'},
+				statuses: {'i-old': undefined, 'i-b': 'replica 1 1.7', 'i-c': 'replica 1 1.9'},
+				statusesAfter: {'i-old': undefined, 'i-b': 'replica 2 1.7', 'i-c': 'primary 2 1.9'},
 			},
 			expected: {primary: 'i-c', ordered: ['i-c']},
 		},
 		{
-			name: 'never names another than the instance whose promotion was ordered, as when the old primary comes back',
+			name: 'stores only the instance whose promotion was ordered, even when the old primary comes back',
 			given: {
-				says: {'i-old': undefined, 'i-b': 'replica 1 1.7', 'i-new': undefined},
-				saysAfter: {'i-old': undefined, 'i-b': 'primary 2 1.7', 'i-new': 'primary 1 1.9'},
+				statuses: {'i-old': undefined, 'i-b': 'replica 1 1.7', 'i-new': undefined},
+				statusesAfter: {'i-old': undefined, 'i-b': 'primary 2 1.7', 'i-new': 'primary 1 1.9'},
 			},
 			expected: {primary: 'i-b', ordered: ['i-b']},
 		},
 		{
-			name: 'keeps a primary that was only silent for a moment',
+			name: 'keeps a primary that was silent only briefly',
 			given: {
-				says: {'i-old': 'primary 1 1.9', 'i-b': 'replica 1 1.7'},
-				saysAfter: {},
+				statuses: {'i-old': 'primary 1 1.9', 'i-b': 'replica 1 1.7'},
+				statusesAfter: {},
 			},
 			expected: {primary: 'i-old', ordered: []},
 		},
 		{
-			name: 'replaces a departing primary though it answers',
+			name: 'replaces a departing primary even though it answers',
 			given: {
-				says: {'i-old': 'primary 1 1.9', 'i-b': 'replica 1 1.9'},
-				saysAfter: {'i-old': 'replica 2 1.9', 'i-b': 'primary 2 1.9'},
+				statuses: {'i-old': 'primary 1 1.9', 'i-b': 'replica 1 1.9'},
+				statusesAfter: {'i-old': 'replica 2 1.9', 'i-b': 'primary 2 1.9'},
 				reason: 'departing' as const,
 			},
 			expected: {primary: 'i-b', ordered: ['i-b']},
 		},
 		{
-			name: 'settles lost answers of the store by reading',
+			name: 'reads the store when answers to commits are lost',
 			given: {
-				says: {'i-old': undefined, 'i-b': 'replica 1 1.7'},
-				saysAfter: {'i-old': undefined, 'i-b': 'primary 2 1.7'},
+				statuses: {'i-old': undefined, 'i-b': 'replica 1 1.7'},
+				statusesAfter: {'i-old': undefined, 'i-b': 'primary 2 1.7'},
 				isLosing: true,
 			},
 			expected: {primary: 'i-b', ordered: ['i-b']},
@@ -178,7 +178,7 @@
 	];
 	for (const {name, given, expected} of cases) {
 		it(name, async () => {
-			const {row, ordered} = await runReplacement(given);
+			const {row, ordered} = await runFailover(given);
 			expect({primary: row.primary, ordered}).to.deep.equal(expected);
 			expect(row).to.include({state: 'serving', epoch: 2, holder: 'a1'});
 		});
--- a/packages/sessions/replace-primary.ts
+++ b/packages/sessions/replace-primary.ts
@@ -39,7 +39,7 @@
 	const outcome = await commitGroupRow(promoted.row, {
 		...promoted.row, state: 'serving', primary: promoted.instance, successor: '',
 	}, failover);
-	step('The host stored the new primary.', {primary: promoted.instance, term: promoted.status.term, outcome});
+	step('The host tried to store the new primary.', {primary: promoted.instance, term: promoted.status.term, outcome});
 	if (promoted.instance !== fence.row.primary) {
 		void sendStepDown(fence.row.primary, promoted.status.term, failover);
 	}
