--- a/packages/sessions/commit-group-row.ts
+++ b/packages/sessions/commit-group-row.ts
@@ -25,8 +25,8 @@
 		const rows = await readFleetRows(store, log);
 		const known = rows?.groups.get(group.name);
 		if (known !== undefined && known.version !== from.version) {
-			const isOurs = known.epoch === row.epoch && known.holder === row.holder && known.state === row.state && known.successor === row.successor;
-			return isOurs ? known : undefined;
+			const isOwnWrite = known.epoch === row.epoch && known.holder === row.holder && known.state === row.state && known.successor === row.successor;
+			return isOwnWrite ? known : undefined;
 		}
 
 		await sleep(retryIntervalMs);
--- a/packages/sessions/execute-promotion.ts
+++ b/packages/sessions/execute-promotion.ts
@@ -35,7 +35,7 @@
  *
  * @returns The new primary; undefined when another host changed the group's row or the time limit is reached.
  */
-export async function executePromotion(fence: Fence, failover: Failover, step: (line: string, fields: Readonly<Record<string, unknown>>) => void): Promise<Promoted | undefined> {
+export async function executePromotion(fence: Fence, failover: Failover, logStep: (line: string, fields: Readonly<Record<string, unknown>>) => void): Promise<Promoted | undefined> {
 	const {group, now, orderPromotion, self} = failover;
 	let {row} = fence;
 	if (failover.reason === 'departing' || failover.reason === 'missing') {
@@ -71,7 +71,7 @@
 		const taken = await orderPromotion({
 			group: group.name, instance: successor.id, holder: self, token: row.token,
 		});
-		step('The host ordered a promotion.', {
+		logStep('The host ordered a promotion.', {
 			successor: successor.id, term: successor.status.term, position: String(successor.status.received.position), taken,
 		});
 		ordered = {instance: successor.id, at: now().steady};
--- a/packages/sessions/find-failover-rank.test.ts
+++ b/packages/sessions/find-failover-rank.test.ts
@@ -8,20 +8,20 @@
 describe('findFailoverRank', () => {
 	const cases = [
 		{
-			name: 'ranks the best gateway of the primary first', self: 'a1', hasFailoverLock: false, expected: 0,
+			name: 'the best gateway of the primary first', self: 'a1', hasFailoverLock: false, expected: 0,
 		},
 		{
-			name: 'ranks a host of another zone after those of the primary\'s zone', self: 'b1', hasFailoverLock: false, expected: 3,
+			name: 'a host of another zone after those of the primary\'s zone', self: 'b1', hasFailoverLock: false, expected: 3,
 		},
 		{
-			name: 'ranks a host that does not connect to the primary last', self: 'b2', hasFailoverLock: false, expected: 8,
+			name: 'a host that does not connect to the primary last', self: 'b2', hasFailoverLock: false, expected: 8,
 		},
 		{
-			name: 'ranks the holder of the failover lock first, as no other host may act', self: 'b2', hasFailoverLock: true, expected: 0,
+			name: 'the holder of the failover lock first, as no other host may act', self: 'b2', hasFailoverLock: true, expected: 0,
 		},
 	];
 	for (const {name, expected, ...options} of cases) {
-		it(name, () => {
+		it(`ranks ${name}`, () => {
 			expect(findFailoverRank({
 				...options, zone: 'a', hosts, gateways,
 			})).to.equal(expected);
--- a/packages/sessions/find-failover-rank.ts
+++ b/packages/sessions/find-failover-rank.ts
@@ -31,11 +31,11 @@
 		return 0;
 	}
 
-	const isElsewhere = hosts.find(({name}) => name === self)?.zone !== zone;
+	const isInOtherZone = hosts.find(({name}) => name === self)?.zone !== zone;
 	const index = gateways.indexOf(self);
 	if (index === -1) {
 		return lastRank;
 	}
 
-	return isElsewhere ? otherZoneRank : Math.min(otherZoneRank, index);
+	return isInOtherZone ? otherZoneRank : Math.min(otherZoneRank, index);
 }
--- a/packages/sessions/fleet-rows.ts
+++ b/packages/sessions/fleet-rows.ts
@@ -13,6 +13,6 @@
 	/** Hosts that are being removed after a long silence, by name; they may still hold leases. */
 	readonly goneHosts: ReadonlyMap<string, Versioned<HostRow>>;
 	readonly failoverLock: Versioned<FailoverLockRow> | undefined;
-	/** Hosts that share out the rates, by partition of the workspaces; see `findRatePartition`. */
+	/** Hosts that allocate the rates, by partition of the workspaces; see `findRatePartition`. */
 	readonly rateHomes: ReadonlyMap<number, Versioned<HomeRow>>;
 };
--- a/packages/sessions/replace-primary.ts
+++ b/packages/sessions/replace-primary.ts
@@ -15,7 +15,7 @@
 export async function replacePrimary(failover: Failover): Promise<void> {
 	const {group, log, reason, now} = failover;
 	const startedAt = now().steady;
-	const step = (line: string, fields: Readonly<Record<string, unknown>> = {}) => {
+	const logStep = (line: string, fields: Readonly<Record<string, unknown>> = {}) => {
 		log.info({
 			group: group.name, reason, elapsed: Math.round(now().steady - startedAt), ...fields,
 		}, `failover: ${line}`);
@@ -23,23 +23,23 @@
 
 	const fence = await commitFence(failover);
 	if (fence === undefined) {
-		step('The host did not set the fence; another host may have been first.');
+		logStep('The host did not set the fence; another host may have been first.');
 		return;
 	}
 
-	step('The host set the fence.', {epoch: fence.row.epoch, token: fence.row.token, hosts: fence.hosts.length});
+	logStep('The host set the fence.', {epoch: fence.row.epoch, token: fence.row.token, hosts: fence.hosts.length});
 	const silent = await waitForHosts(fence, failover);
-	step('All leases on the old primary are released or expired.', {silent});
-	const promoted = await executePromotion(fence, failover, step);
+	logStep('All leases on the old primary are released or expired.', {silent});
+	const promoted = await executePromotion(fence, failover, logStep);
 	if (promoted === undefined) {
-		step('The host promoted no successor in time; another host resumes the failover.');
+		logStep('The host promoted no successor in time; another host resumes the failover.');
 		return;
 	}
 
 	const outcome = await commitGroupRow(promoted.row, {
 		...promoted.row, state: 'serving', primary: promoted.instance, successor: '',
 	}, failover);
-	step('The host tried to store the new primary.', {primary: promoted.instance, term: promoted.status.term, outcome});
+	logStep('The host tried to store the new primary.', {primary: promoted.instance, term: promoted.status.term, outcome});
 	if (promoted.instance !== fence.row.primary) {
 		void sendStepDown(fence.row.primary, promoted.status.term, failover);
 	}
