--- a/packages/sessions/commit-fence.ts
+++ b/packages/sessions/commit-fence.ts
@@ -9,7 +9,7 @@
  * Takes the failover lock and sets the fence in one commit, then reads the rows to see whether the commit was applied, as
  * its answer may be lost.
  *
- * @returns The fence; undefined when another host is first or the store does not answer.
+ * @returns The fence; undefined when another host is first, or the store does not answer or has no row of the group.
  */
 export async function commitFence(failover: Failover): Promise<Fence | undefined> {
 	const {group, self, store, log, now} = failover;
--- a/packages/sessions/create-fleet-controller.ts
+++ b/packages/sessions/create-fleet-controller.ts
@@ -71,6 +71,7 @@
 	const markedSince = new Map<string, number>();
 	/** When the fleet's rows first became known, in milliseconds of the steady clock. */
 	let knownSince = Number.POSITIVE_INFINITY;
+	/** When this host last attempted what it repeats at `retryIntervalMs`, in milliseconds of the steady clock. */
 	let attemptedAt = Number.NEGATIVE_INFINITY;
 
 	/** Finds the milliseconds for which this host lets others store a group's first primary. */
@@ -79,6 +80,7 @@
 		return bootstrapSettleMs + (Math.max(0, rank) * bootstrapStaggerMs);
 	};
 
+	/** Whether the store holds the registration of this process, not that of an earlier start. */
 	const isRegistered = () => fleet?.hosts.get(own.name)?.incarnation === own.incarnation;
 
 	const register = async () => {
@@ -110,7 +112,7 @@
 		hasFailoverLock: [...fleet?.groups.values() ?? []].some(row => row.state === 'fencing' && row.holder === own.name && busyGroups.size > 0),
 	});
 
-	/** Checks whether an instance is silent for this host; sends a request if past ones do not tell. */
+	/** Checks whether an instance is silent for this host; sends a request when the recent ones do not show it. */
 	const isInstanceSilent = async (groupName: string, id: string): Promise<boolean> => {
 		const instance = options.listGroups().find(({name}) => name === groupName)?.findInstance(id);
 		const workspace = options.findWorkspace();
--- a/packages/sessions/create-source-selector.ts
+++ b/packages/sessions/create-source-selector.ts
@@ -30,7 +30,7 @@
 }: Options): SourceSelector {
 	const avoidedUntil = new Map<string, number>();
 	/** Milliseconds for which each source was last avoided, until its backoff is reset. */
-	const lastSpans = new Map<string, number>();
+	const lastBackoffMs = new Map<string, number>();
 	let lastSource = '';
 
 	return {
@@ -46,13 +46,13 @@
 			return source;
 		},
 		backOff(source) {
-			const span = Math.min(backoffMs.last, (lastSpans.get(source) ?? backoffMs.first / 2) * 2);
-			lastSpans.set(source, span);
+			const span = Math.min(backoffMs.last, (lastBackoffMs.get(source) ?? backoffMs.first / 2) * 2);
+			lastBackoffMs.set(source, span);
 			avoidedUntil.set(source, now().steady + span);
 			log.info({source, span}, 'store: The host avoids a source whose data is not fresh enough.');
 		},
 		resetBackoff(source) {
-			lastSpans.delete(source);
+			lastBackoffMs.delete(source);
 		},
 	};
 }
--- a/packages/sessions/find-elapsed.ts
+++ b/packages/sessions/find-elapsed.ts
@@ -3,8 +3,8 @@
 /**
  * Finds an upper bound on the milliseconds that have passed since a moment.
  *
- * Takes the larger difference of the two clocks: the steady clock may stop while the host is suspended, and a backward
- * jump of the wall clock must not make data look younger than it is.
+ * Takes the larger difference of the two clocks, since the steady clock may stop while the host is suspended. A jump of
+ * the wall clock can therefore make data look older than it is, but never younger.
  *
  * @example
  * findElapsed({steady: 10, wall: 1000}, {steady: 15, wall: 1005}); // 5
--- a/packages/sessions/fleet-controller.ts
+++ b/packages/sessions/fleet-controller.ts
@@ -7,9 +7,9 @@
 	readonly updateFleet: (fleet: FleetRows) => void;
 	/** Registers the host and starts failovers where needed; called repeatedly. */
 	readonly step: () => void;
-	/** Registers this host in the store. */
+	/** Registers this host in the store, so that other hosts see it at once. */
 	readonly register: () => Promise<void>;
-	/** Whether the store is known to hold the registration of this start of the process. */
+	/** Whether the store holds the registration of this process, not that of an earlier start. */
 	readonly isRegistered: () => boolean;
 	/** Hosts that are registered, or were within the lifetime of a lease. */
 	readonly listRecentHosts: () => readonly HostRow[];
