--- a/packages/sessions/fleet-controller.ts
+++ b/packages/sessions/fleet-controller.ts
@@ -11,7 +11,7 @@
 	readonly register: () => Promise<void>;
 	/** Whether the store holds the registration of this process, not that of an earlier start. */
 	readonly isRegistered: () => boolean;
-	/** Hosts that are registered, or were within the lifetime of a lease. */
+	/** Hosts that are registered, or were recently enough that they may still hold leases. */
 	readonly listRecentHosts: () => readonly HostRow[];
 	readonly fenceGroup: FleetPeer['fenceGroup'];
 	readonly confirmSilence: FleetPeer['confirmSilence'];
