--- a/packages/sessions/find-primary.ts
+++ b/packages/sessions/find-primary.ts
@@ -9,7 +9,7 @@
 	readonly confirmedAt: Instant | undefined;
 	/** When this host first saw the fence, in milliseconds of the steady clock. */
 	readonly fencedAt: number | undefined;
-	/** Whether this host is registered in the store; a failover waits only for registered hosts to release the primary. */
+	/** Whether this host is registered in the store, so that failovers wait for it to release the primary. */
 	readonly isRegistered: boolean;
 };
 
