--- a/packages/sessions/choose-target.ts
+++ b/packages/sessions/choose-target.ts
@@ -1,6 +1,6 @@
 import type {Operation} from './operation.ts';
 import type {Target} from './target.ts';
-import {waitForUsefulPrimary} from './wait-for-useful-primary.ts';
+import {waitForExpectedPrimary} from './wait-for-expected-primary.ts';
 
 type Options = {
 	/** Whether the operation only reads, so that a replica may serve it. */
@@ -30,7 +30,7 @@
 		}
 	}
 
-	const view = await waitForUsefulPrimary(operation, remainingMs);
+	const view = await waitForExpectedPrimary(operation, remainingMs);
 	const instance = view.kind === 'leased' ? group.findInstance(view.instance) : undefined;
 	return view.kind === 'leased' && instance !== undefined ? {instance, after: undefined, epoch: view.epoch} : undefined;
 }
--- a/packages/sessions/commit-fence.ts
+++ b/packages/sessions/commit-fence.ts
@@ -3,30 +3,35 @@
 import type {FleetRows} from './fleet-rows.ts';
 import type {GroupRow} from './group-row.ts';
 import {readFleetRows} from './read-fleet-rows.ts';
-import type {Replacement} from './replacement.ts';
+import type {Failover} from './failover.ts';
 
-/** Takes the duty and raises the fence in one change; settles a lost answer by reading the rows. */
-export async function commitFence(replacement: Replacement): Promise<Fence | undefined> {
-	const {group, self, store, log, now} = replacement;
+/**
+ * Takes the failover lock and sets the fence in one commit, then reads the rows to see whether the commit was applied, as
+ * its answer may be lost.
+ *
+ * @returns The fence; undefined when another host is first, or the store does not answer or has no row of the group.
+ */
+export async function commitFence(failover: Failover): Promise<Fence | undefined> {
+	const {group, self, store, log, now} = failover;
 	const before = await readFleetRows(store, log);
 	const row = before?.groups.get(group.name);
 	if (before === undefined || row === undefined) {
 		return undefined;
 	}
 
-	if (isTakenByOther(before, replacement)) {
+	if (isTakenByOtherHost(before, failover)) {
 		return undefined;
 	}
 
-	const {duty} = before;
-	const token = duty?.holder === self ? duty.token : (duty?.token ?? 0) + 1;
+	const {failoverLock} = before;
+	const token = failoverLock?.holder === self ? failoverLock.token : (failoverLock?.token ?? 0) + 1;
 	const next: GroupRow = {
 		epoch: row.epoch + 1, state: 'fencing', primary: row.primary, successor: row.successor, holder: self, token,
 	};
 	const key = `${fleetKeys.groupPrefix}${group.name}`;
 	const outcome = await store.commit({
-		expected: new Map([[fleetKeys.duty, duty?.version ?? 0], [key, row.version]]),
-		values: new Map([[fleetKeys.duty, JSON.stringify({holder: self, token})], [key, JSON.stringify(next)]]),
+		expected: new Map([[fleetKeys.failoverLock, failoverLock?.version ?? 0], [key, row.version]]),
+		values: new Map([[fleetKeys.failoverLock, JSON.stringify({holder: self, token})], [key, JSON.stringify(next)]]),
 	});
 	if (outcome.kind === 'conflict' || outcome.kind === 'refused') {
 		return undefined;
@@ -40,15 +45,15 @@
 		: undefined;
 }
 
-/** Whether another host replaces this primary, or holds the duty for another one. */
-function isTakenByOther({groups, duty}: FleetRows, {group, self, reason}: Replacement): boolean {
+/** Checks whether another host replaces this primary, or holds the failover lock while it replaces another one. */
+function isTakenByOtherHost({groups, failoverLock}: FleetRows, {group, self, reason}: Failover): boolean {
 	if (reason === 'abandoned') {
 		return false;
 	}
 
 	const row = groups.get(group.name);
 	const isFencedByOther = row?.state === 'fencing' && row.holder !== self;
-	const isDutyBusy = duty !== undefined && duty.holder !== self && [...groups]
-		.some(([name, other]) => name !== group.name && other.state === 'fencing' && other.holder === duty.holder);
-	return isFencedByOther || isDutyBusy;
+	const isLockInUse = failoverLock !== undefined && failoverLock.holder !== self && [...groups]
+		.some(([name, other]) => name !== group.name && other.state === 'fencing' && other.holder === failoverLock.holder);
+	return isFencedByOther || isLockInUse;
 }
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -32,7 +32,7 @@
 }: Options): InstanceRuntime {
 	let listed = first;
 	let health: InstanceHealth = {
-		latency: initialLatencyMs, heardAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lagged: undefined,
+		latency: initialLatencyMs, lastAnswerAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lastLag: undefined,
 	};
 
 	const recordObservation = (seen: Parameters<typeof applyObservation>[1]['seen']) => {
@@ -93,7 +93,7 @@
 		pool,
 		send,
 		recordLag(missingPosition) {
-			recordObservation({kind: 'lagging', lacks: missingPosition});
+			recordObservation({kind: 'lagging', missingPosition});
 		},
 	};
 }
--- a/packages/sessions/create-partition-limiter.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -6,7 +6,7 @@
 import {findElapsed} from './find-elapsed.ts';
 import {findHeldRate} from './find-held-rate.ts';
 import {findRateAllocatorRank} from './find-rate-allocator-rank.ts';
-import {firstDelay} from './first-delay.ts';
+import {bootstrapStaggerMs} from './bootstrap-stagger-ms.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {RateAllocatorRow} from './rate-allocator-row.ts';
@@ -162,7 +162,7 @@
 		const rank = Math.min(maxRank, findRateAllocatorRank({
 			self, partition, hosts: [...rows.hosts.keys()], lost: row?.holder,
 		}));
-		return now().steady - since > (row === undefined ? rank * firstDelay : allocatorTimeoutMs + (rank * rankDelayMs));
+		return now().steady - since > (row === undefined ? rank * bootstrapStaggerMs : allocatorTimeoutMs + (rank * rankDelayMs));
 	};
 
 	const logRefusal = (workspace: string, limits: WorkspaceLimits) => {
--- a/packages/sessions/create-rate-allocator.ts
+++ b/packages/sessions/create-rate-allocator.ts
@@ -1,5 +1,5 @@
 import {assignRates} from './assign-rates.ts';
-import {findLeaseLeft} from './find-lease-left.ts';
+import {findLeaseRemaining} from './find-lease-remaining.ts';
 import type {FleetPeer} from './fleet-peer.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {Instant} from './instant.ts';
@@ -51,7 +51,7 @@
 
 	const hasLease = () => {
 		const confirmedAt = options.findFleetConfirmedAt();
-		return isAllocator() && confirmedAt !== undefined && findLeaseLeft(confirmedAt, now()) > 0;
+		return isAllocator() && confirmedAt !== undefined && findLeaseRemaining(confirmedAt, now()) > 0;
 	};
 
 	const claimRates: RateAllocator['claimRates'] = async ({host, epoch, claims}) => {
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -65,7 +65,7 @@
 	let replicaReadAt = Number.NEGATIVE_INFINITY;
 
 	const primary = () => findPrimary({
-		row: row !== undefined && row.epoch < fencedEpoch ? {...row, state: 'fencing'} : row, provenAt: confirmedAt, fencedAt, isRegistered,
+		row: row !== undefined && row.epoch < fencedEpoch ? {...row, state: 'fencing'} : row, confirmedAt, fencedAt, isRegistered,
 	}, now());
 
 	const notifyWaiters = () => {
--- a/packages/sessions/create-store-follower.ts
+++ b/packages/sessions/create-store-follower.ts
@@ -2,7 +2,7 @@
 import {findAlignedWait} from './find-aligned-wait.ts';
 import {followTable} from './follow-table.ts';
 import type {Instant} from './instant.ts';
-import {proofPeriod} from './proof-period.ts';
+import {confirmIntervalMs} from './confirm-interval-ms.ts';
 import type {SessionLog} from './session-log.ts';
 import type {Store} from './store.ts';
 import type {StoreTable} from './store-table.ts';
@@ -25,7 +25,7 @@
 };
 
 /** Maximum milliseconds that a call to the store waits for changes, by table. */
-const maxFollowWaitsMs = {configuration: proofPeriod, fleet: proofPeriod, instances: 4 * proofPeriod} as const satisfies Record<StoreTable, number>;
+const maxFollowWaitsMs = {configuration: confirmIntervalMs, fleet: confirmIntervalMs, instances: 4 * confirmIntervalMs} as const satisfies Record<StoreTable, number>;
 
 /** Creates the follower of the store's tables, which writes them to the table cache. */
 export function createStoreFollower({
@@ -47,7 +47,7 @@
 					store,
 					table,
 					reader: self,
-					findWait: at => findAlignedWait({period: proofPeriod, most: maxFollowWaitsMs[table], now: at}),
+					findWait: at => findAlignedWait({intervalMs: confirmIntervalMs, maxWaitMs: maxFollowWaitsMs[table], now: at}),
 					now,
 					cached: cache.findTable(table),
 					onTable(update) {
--- a/packages/sessions/create-table-sync.ts
+++ b/packages/sessions/create-table-sync.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {AskedTable} from './asked-table.ts';
 import {createTableUpdate} from './create-table-update.ts';
-import {createSourceChoice} from './create-source-choice.ts';
+import {createSourceSelector} from './create-source-selector.ts';
 import {createStoreFollower} from './create-store-follower.ts';
 import {createTableCache} from './create-table-cache.ts';
 import {findRenewal} from './find-renewal.ts';
@@ -15,7 +15,7 @@
 import {mergeTableUpdate} from './merge-table-update.ts';
 import type {PrimaryPosition} from './primary-position.ts';
 import type {SessionLog} from './session-log.ts';
-import {settleSpan} from './settle-span.ts';
+import {bootstrapSettleMs} from './bootstrap-settle-ms.ts';
 import type {Store} from './store.ts';
 import type {StoreTable} from './store-table.ts';
 import type {TableSync} from './table-sync.ts';
@@ -80,7 +80,7 @@
 	const follower = createStoreFollower({
 		self, store, cache, now, log,
 	});
-	const sources = createSourceChoice(options);
+	const sources = createSourceSelector(options);
 
 	/** Whether the fleet is starting for the first time and the store readers may not have any tables yet. */
 	const isBootstrapping = () => options.isFirstStart && !hasSynchronized && now().steady - startedAt < bootstrapTimeoutMs;
@@ -132,7 +132,7 @@
 		}
 
 		// The other host received the request no earlier than `sentAt` and then waited for `waited` milliseconds before it answered.
-		const earliestAnswerAt = {steady: sentAt.steady + answer.waited, wall: sentAt.wall + answer.waited};
+		const earliestAnswerAt = {steady: sentAt.steady + answer.waitedMs, wall: sentAt.wall + answer.waitedMs};
 		for (const update of answer.tables) {
 			const cached = cache.findTable(update.table);
 			if (cached !== undefined && update.version < cached.version) {
@@ -174,7 +174,7 @@
 	const startUp = async () => {
 		await options.register();
 		if (options.isFirstStart) {
-			await sleep(settleSpan);
+			await sleep(bootstrapSettleMs);
 			await readTable('fleet');
 		} else {
 			await Promise.all(tables.map(async table => readTable(table)));
@@ -186,10 +186,10 @@
 		follower.start();
 		if (now().steady > findReadDeadline()) {
 			if (cache.findFreshRemaining(maxSourceAgesMs) <= 0) {
-				sources.avoid(self);
+				sources.backOff(self);
 			} else {
 				hasSynchronized = true;
-				sources.approve(self);
+				sources.resetBackoff(self);
 			}
 		}
 
@@ -200,13 +200,13 @@
 	const stepPolled = async (source: string) => {
 		if (await poll(source)) {
 			hasSynchronized = true;
-			sources.approve(source);
+			sources.resetBackoff(source);
 			follower.stop();
 			await sleep(stepIntervalMs);
 		} else if (isBootstrapping()) {
 			await sleep(stepIntervalMs);
 		} else {
-			sources.avoid(source);
+			sources.backOff(source);
 		}
 	};
 
@@ -225,7 +225,7 @@
 			await waitForChanges(asked, wait);
 			const at = now();
 			return {
-				waited: Math.max(0, at.steady - requestedAt.steady),
+				waitedMs: Math.max(0, at.steady - requestedAt.steady),
 				tables: cache.listTables().map(([table, cached]) => createTableUpdate(table, {cached, asked: asked.get(table), now: at})),
 				positions: options.listPositions(),
 			};
--- /dev/null
+++ b/packages/sessions/find-failover-reason.test.ts
@@ -0,0 +1,31 @@
+import {expect} from 'chai';
+import {findFailoverReason} from './find-failover-reason.ts';
+
+const health = {
+	latency: 30, lastAnswerAt: 0, unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lastLag: undefined,
+};
+const row = {
+	epoch: 3, state: 'serving', primary: 'i-1', successor: '', holder: 'a1', token: 2,
+} as const;
+const healthy = {
+	row, isDeparting: false, missingSince: undefined, health, fencedAt: undefined, isListFresh: true, now: 10_000,
+};
+
+describe('findFailoverReason', () => {
+	const cases = [
+		{name: 'keeps a healthy primary', seen: healthy, expected: undefined},
+		{name: 'replaces a departing primary', seen: {...healthy, isDeparting: true}, expected: 'departing'},
+		{name: 'does not act on a stale list', seen: {...healthy, isDeparting: true, isListFresh: false}, expected: undefined},
+		{name: 'waits for an expired entry to be renewed', seen: {...healthy, missingSince: 8000}, expected: undefined},
+		{name: 'replaces a primary that stays unlisted', seen: {...healthy, missingSince: 7000}, expected: 'missing'},
+		{name: 'suspects a primary that does not answer', seen: {...healthy, health: {...health, unansweredSince: 9000}}, expected: 'silent'},
+		{name: 'waits for a slow answer', seen: {...healthy, health: {...health, unansweredSince: 9500}}, expected: undefined},
+		{name: 'leaves a running failover to its host', seen: {...healthy, row: {...row, state: 'fencing' as const}, fencedAt: 6000}, expected: undefined},
+		{name: 'resumes a failover that its host abandoned', seen: {...healthy, row: {...row, state: 'fencing' as const}, fencedAt: 4000}, expected: 'abandoned'},
+	];
+	for (const {name, seen, expected} of cases) {
+		it(name, () => {
+			expect(findFailoverReason(seen)).to.equal(expected);
+		});
+	}
+});
--- /dev/null
+++ b/packages/sessions/find-failover-reason.ts
@@ -0,0 +1,48 @@
+import type {GroupRow} from './group-row.ts';
+import type {InstanceHealth} from './instance-health.ts';
+import type {FailoverReason} from './failover-reason.ts';
+
+type Options = {
+	readonly row: GroupRow;
+	/** Whether the platform lists the primary as departing. */
+	readonly isDeparting: boolean;
+	/** When the platform stopped listing the primary, in milliseconds of the steady clock. */
+	readonly missingSince: number | undefined;
+	readonly health: InstanceHealth | undefined;
+	/** When this host first saw the current fence, in milliseconds of the steady clock. */
+	readonly fencedAt: number | undefined;
+	/** Whether the platform's list of instances is recent enough to act on. */
+	readonly isListFresh: boolean;
+	/** Milliseconds of the steady clock. */
+	readonly now: number;
+};
+
+/** Milliseconds that a request may stay unanswered before its instance counts as silent. */
+const silenceLimitMs = 700;
+
+/** Milliseconds that an instance must be unlisted before it counts as missing, since its entry may have expired by mistake. */
+const missingLimitMs = 2600;
+
+/** Milliseconds after which a failover that another host started counts as abandoned. */
+const abandonedLimitMs = 5000;
+
+/** Finds why the primary of a group should be replaced, from what this host sees; undefined when it should not. */
+export function findFailoverReason(options: Options): FailoverReason | undefined {
+	const {
+		row, health, missingSince, fencedAt, now,
+	} = options;
+	if (row.state === 'fencing') {
+		return fencedAt !== undefined && now - fencedAt > abandonedLimitMs ? 'abandoned' : undefined;
+	}
+
+	if (options.isListFresh && options.isDeparting) {
+		return 'departing';
+	}
+
+	if (options.isListFresh && missingSince !== undefined && now - missingSince > missingLimitMs) {
+		return 'missing';
+	}
+
+	const isSilent = health?.unansweredSince !== undefined && now - health.unansweredSince > silenceLimitMs;
+	return isSilent ? 'silent' : undefined;
+}
--- a/packages/sessions/fleet-keys.ts
+++ b/packages/sessions/fleet-keys.ts
@@ -1,6 +1,6 @@
-/** Keys of the fleet's rows in the store. */
+/** Keys and key prefixes of the rows of the `fleet` table in the store. */
 export const fleetKeys = {
-	duty: 'duty',
+	failoverLock: 'failoverLock',
 	rateAllocatorPrefix: 'rate-home/',
 	groupPrefix: 'group/',
 	hostPrefix: 'host/',
--- a/packages/sessions/fleet-rows.ts
+++ b/packages/sessions/fleet-rows.ts
@@ -1,17 +1,18 @@
-import type {DutyRow} from './duty-row.ts';
+import type {FailoverLockRow} from './failover-lock-row.ts';
 import type {GroupRow} from './group-row.ts';
 import type {RateAllocatorRow} from './rate-allocator-row.ts';
 import type {HostRow} from './host-row.ts';
 import type {Versioned} from './versioned.ts';
 
-/** The fleet's own rows. */
+/** The parsed rows of the `fleet` table. */
 export type FleetRows = {
+	/** Primaries of the groups, by group. */
 	readonly groups: ReadonlyMap<string, Versioned<GroupRow>>;
-	/** Hosts in use, by name. */
+	/** Registered hosts, by name. */
 	readonly hosts: ReadonlyMap<string, Versioned<HostRow>>;
-	/** Hosts that were not heard of for long; they may hold leases for a little while. */
+	/** Hosts that are being removed after a long silence, by name; they may still hold leases. */
 	readonly goneHosts: ReadonlyMap<string, Versioned<HostRow>>;
-	readonly duty: Versioned<DutyRow> | undefined;
-	/** Hosts that share out the rates, by partition of the workspaces; see `findRatePartition`. */
+	readonly failoverLock: Versioned<FailoverLockRow> | undefined;
+	/** Hosts that allocate the rates, by partition of the workspaces; see `findRatePartition`. */
 	readonly rateAllocators: ReadonlyMap<number, Versioned<RateAllocatorRow>>;
 };
--- a/packages/sessions/follow-table.ts
+++ b/packages/sessions/follow-table.ts
@@ -1,7 +1,7 @@
 /* eslint-disable no-await-in-loop -- the steps follow each other */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {findElapsed} from './find-elapsed.ts';
-import {findProof} from './find-proof.ts';
+import {findConfirmedAt} from './find-confirmed-at.ts';
 import {findTableMark} from './find-table-mark.ts';
 import type {Instant} from './instant.ts';
 import type {CachedTable} from './cached-table.ts';
@@ -77,14 +77,14 @@
 		}
 
 		const {rows, version} = outcome.value;
-		const confirmation = findProof(clock, outcome.value);
+		const confirmation = findConfirmedAt(clock, outcome.value);
 		({clock} = confirmation);
 		const merged = cached !== undefined && isComplete && rows.length === 0 ? cached.rows : applyRows(isComplete ? cached?.rows : undefined, rows);
 		cached = {
 			rows: merged,
 			version,
 			mark: merged === cached?.rows ? cached.mark : findTableMark(merged),
-			confirmedAt: confirmation.provenAt,
+			confirmedAt: confirmation.confirmedAt,
 			reader,
 		};
 		isComplete = true;
--- a/packages/sessions/is-position-sample-due.ts
+++ b/packages/sessions/is-position-sample-due.ts
@@ -1,4 +1,4 @@
-import {proofPeriod} from './proof-period.ts';
+import {confirmIntervalMs} from './confirm-interval-ms.ts';
 
 type Options = {
 	/** Milliseconds since the newest known sample was requested from the primary, by this or another host. */
@@ -29,6 +29,6 @@
 		return hasReplicaReads && age >= receiverIntervalMs;
 	}
 
-	const isReportDue = now % proofPeriod >= preReportFraction * proofPeriod;
+	const isReportDue = now % confirmIntervalMs >= preReportFraction * confirmIntervalMs;
 	return age >= storeReaderIntervalMs || (isReportDue && age >= preReportMinAgeMs);
 }
--- a/packages/sessions/parse-fleet-rows.ts
+++ b/packages/sessions/parse-fleet-rows.ts
@@ -1,4 +1,4 @@
-import type {DutyRow} from './duty-row.ts';
+import type {FailoverLockRow} from './failover-lock-row.ts';
 import {fleetKeys} from './fleet-keys.ts';
 import type {FleetRows} from './fleet-rows.ts';
 import type {GroupRow} from './group-row.ts';
@@ -8,17 +8,17 @@
 import type {StoreRow} from './store-row.ts';
 import type {Versioned} from './versioned.ts';
 
-/** Parses the fleet's rows; one that cannot be read is logged and left out. */
+/** Parses the rows of the `fleet` table; logs and skips a row that is not valid JSON. */
 export function parseFleetRows(rows: Iterable<StoreRow>, log: SessionLog): FleetRows {
 	const groups = new Map<string, Versioned<GroupRow>>();
 	const hosts = new Map<string, Versioned<HostRow>>();
 	const goneHosts = new Map<string, Versioned<HostRow>>();
-	let duty: Versioned<DutyRow> | undefined;
+	let failoverLock: Versioned<FailoverLockRow> | undefined;
 	const rateHomes = new Map<number, Versioned<RateAllocatorRow>>();
 	for (const {key, value = '', version} of rows) {
 		try {
-			if (key === fleetKeys.duty) {
-				duty = {...JSON.parse(value) as DutyRow, version};
+			if (key === fleetKeys.failoverLock) {
+				failoverLock = {...JSON.parse(value) as FailoverLockRow, version};
 			} else if (key.startsWith(fleetKeys.rateAllocatorPrefix)) {
 				rateHomes.set(Number(key.slice(fleetKeys.rateAllocatorPrefix.length)), {...JSON.parse(value) as RateAllocatorRow, version});
 			} else if (key.startsWith(fleetKeys.groupPrefix)) {
@@ -28,11 +28,11 @@
 				(row.isGone === true ? goneHosts : hosts).set(row.name, row);
 			}
 		} catch (error) {
-			log.warn({key, version, error: (error as Error).message}, 'store: A row of the fleet cannot be read and is left out.');
+			log.warn({key, version, error: (error as Error).message}, 'store: The host skips a row of the fleet table that it cannot parse.');
 		}
 	}
 
 	return {
-		groups, hosts, goneHosts, duty, rateAllocators: rateHomes,
+		groups, hosts, goneHosts, failoverLock, rateAllocators: rateHomes,
 	};
 }
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -51,10 +51,10 @@
 	return costMs;
 }
 
-function isLikelyLagging({lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
+function isLikelyLagging({lastLag: lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
 	if (lagged === undefined || now - lagged.at > lagRetentionMs) {
 		return false;
 	}
 
-	return comparePoints(required, lagged.lacks) >= 0 && (position === undefined || comparePoints(position, required) < 0);
+	return comparePoints(required, lagged.missingPosition) >= 0 && (position === undefined || comparePoints(position, required) < 0);
 }
