--- a/packages/decisions/adopt-fleet.ts
+++ b/packages/decisions/adopt-fleet.ts
@@ -11,16 +11,16 @@
  */
 export function adoptFleet(
 	state: HostState,
-	read: {readonly fleet: FleetConfiguration; readonly provenAt: number; readonly now: number},
+	read: {readonly fleet: FleetConfiguration; readonly confirmedAt: number; readonly now: number},
 ): HostStep {
 	const {configuration, roster} = read.fleet;
 	if (roster.head < state.roster.head) {
 		return {state, effects: []};
 	}
 
-	const provenAt = Math.max(state.provenAt, read.provenAt);
+	const provenAt = Math.max(state.tableConfirmedAt, read.confirmedAt);
 	if (roster.head === state.roster.head) {
-		return {state: {...state, provenAt}, effects: []};
+		return {state: {...state, tableConfirmedAt: provenAt}, effects: []};
 	}
 
 	// A roster that was missed may have made another host the home meanwhile.
@@ -34,9 +34,9 @@
 			roster,
 			homesKnownAt: hasNewHomes ? read.now : state.homesKnownAt,
 			rosterHistory: extendRosterHistory(state.rosterHistory, {hosts: roster.hosts, at: read.now}),
-			provenAt,
-			speaksFrom: Math.min(state.speaksFrom, read.now + pendingWriteTimeoutMs),
-			statements: new Map(),
+			tableConfirmedAt: provenAt,
+			confirmsFrom: Math.min(state.confirmsFrom, read.now + pendingWriteTimeoutMs),
+			confirmations: new Map(),
 		},
 		effects: isNew ? [{kind: 'tellConfiguration', version: configuration.version}] : [],
 	};
--- a/packages/decisions/apply-statements.ts
+++ b/packages/decisions/apply-confirmations.ts
@@ -1,12 +1,12 @@
-import type {AcceptorStatement} from './acceptor-statement.ts';
+import type {AcceptorConfirmation} from './acceptor-confirmation.ts';
 
 /** Applies what another host told of the acceptors' word; the newest word of each counts. */
-export function applyStatements(
+export function applyConfirmations(
 	known: ReadonlyMap<string, number>,
-	told: readonly AcceptorStatement[],
+	told: readonly AcceptorConfirmation[],
 ): ReadonlyMap<string, number> {
 	const statements = new Map(known);
-	for (const {id, at} of told) {
+	for (const {id, confirmedAt: at} of told) {
 		statements.set(id, Math.max(at, statements.get(id) ?? -Infinity));
 	}
 
--- a/packages/decisions/apply-news.ts
+++ b/packages/decisions/apply-member-updates.ts
@@ -1,4 +1,4 @@
-import type {MemberNews} from './member-news.ts';
+import type {MemberUpdate} from './member-update.ts';
 import type {Member} from './member.ts';
 import type {Membership} from './membership.ts';
 
@@ -11,13 +11,13 @@
  * @param membership What is known.
  * @param options The news and monotonic milliseconds.
  */
-export function applyNews(
+export function applyMemberUpdates(
 	membership: Membership,
-	options: {readonly news: readonly MemberNews[]; readonly now: number},
+	options: {readonly memberUpdates: readonly MemberUpdate[]; readonly now: number},
 ): Membership {
 	let {incarnation} = membership;
 	const members = new Map(membership.members);
-	for (const item of options.news) {
+	for (const item of options.memberUpdates) {
 		if (item.id === membership.self) {
 			incarnation = item.isAlive ? incarnation : Math.max(incarnation, item.incarnation + 1);
 		} else if (isNewer(item, members.get(item.id))) {
@@ -30,7 +30,7 @@
 	return {...membership, incarnation, members};
 }
 
-function isNewer(news: MemberNews, known: Member | undefined): boolean {
+function isNewer(news: MemberUpdate, known: Member | undefined): boolean {
 	if (known === undefined || news.incarnation > known.incarnation) {
 		return true;
 	}
--- a/packages/decisions/find-proven-at.ts
+++ b/packages/decisions/find-confirmed-at.ts
@@ -8,9 +8,9 @@
  *
  * @returns Monotonic milliseconds; -Infinity without proof.
  */
-export function findProvenAt(state: HostState): number {
+export function findConfirmedAt(state: HostState): number {
 	const {acceptors} = state.roster;
-	const words = acceptors.map(id => state.statements.get(id) ?? -Infinity);
+	const words = acceptors.map(id => state.confirmations.get(id) ?? -Infinity);
 	const byWord = words.length === 0 ? -Infinity : Math.min(...words);
-	return Math.max(state.provenAt, byWord);
+	return Math.max(state.tableConfirmedAt, byWord);
 }
--- a/packages/decisions/host-event.ts
+++ b/packages/decisions/host-event.ts
@@ -1,11 +1,11 @@
-import type {AcceptorStatement} from './acceptor-statement.ts';
+import type {AcceptorConfirmation} from './acceptor-confirmation.ts';
 import type {FleetConfiguration} from './fleet-configuration.ts';
 import type {FailoverEvent} from './failover-event.ts';
 import type {Group} from './group.ts';
 import type {GroupPrimary} from './group-primary.ts';
 import type {Host} from './host.ts';
 import type {InstanceReport} from './instance-report.ts';
-import type {MemberNews} from './member-news.ts';
+import type {MemberUpdate} from './member-update.ts';
 
 /** What moves a host's control loop on. Times are monotonic milliseconds. */
 export type HostEvent =
@@ -15,7 +15,7 @@
 		/** The newest configuration, read from the table no earlier than `provenAt`. */
 		readonly kind: 'configurationRead';
 		readonly fleet: FleetConfiguration;
-		readonly provenAt: number;
+		readonly confirmedAt: number;
 	}
 	| {readonly kind: 'exchangeFailed'; readonly id: string}
 	| {
@@ -27,11 +27,11 @@
 		readonly head: number;
 		/** Present when the other host knows a newer head. */
 		readonly fleet: FleetConfiguration | undefined;
-		readonly statements: readonly AcceptorStatement[];
+		readonly confirmations: readonly AcceptorConfirmation[];
 		/** When the other host's version was the newest at the earliest; -Infinity in a push. */
-		readonly provenAt: number;
+		readonly confirmedAt: number;
 		readonly primaries: readonly GroupPrimary[];
-		readonly news: readonly MemberNews[];
+		readonly memberUpdates: readonly MemberUpdate[];
 	}
 	| {readonly kind: 'demanded'; readonly database: string}
 	| {
--- a/packages/decisions/host-state.ts
+++ b/packages/decisions/host-state.ts
@@ -15,11 +15,11 @@
 	/** Lists of the roster's hosts and when each became known here, oldest first. */
 	readonly rosterHistory: ReadonlyArray<{readonly hosts: readonly string[]; readonly at: number}>;
 	/** When a read of the table, here or at another host, last proved configuration and roster to be the newest. */
-	readonly provenAt: number;
+	readonly tableConfirmedAt: number;
 	/** When each acceptor last gave its word that it had committed nothing newer. */
-	readonly statements: ReadonlyMap<string, number>;
+	readonly confirmations: ReadonlyMap<string, number>;
 	/** From when this host, as an acceptor, gives its word; an earlier process of its name has no write under way then. */
-	readonly speaksFrom: number;
+	readonly confirmsFrom: number;
 	/** Whether a commit of this host is unsettled. */
 	readonly isCommitting: boolean;
 	/** Configuration versions of the other hosts, as last heard. */
--- a/packages/decisions/is-roster-proven.ts
+++ b/packages/decisions/is-roster-confirmed.ts
@@ -1,4 +1,4 @@
-import {findProvenAt} from './find-proven-at.ts';
+import {findConfirmedAt} from './find-confirmed-at.ts';
 import type {HostState} from './host-state.ts';
 
 /**
@@ -7,9 +7,9 @@
  * @param state The state of the host.
  * @param options Greatest age of the proof in milliseconds, and monotonic milliseconds.
  */
-export function isRosterProven(
+export function isRosterConfirmed(
 	state: HostState,
-	options: {readonly proofLimit: number; readonly now: number},
+	options: {readonly maxAgeMs: number; readonly now: number},
 ): boolean {
-	return options.now - findProvenAt(state) <= options.proofLimit;
+	return options.now - findConfirmedAt(state) <= options.maxAgeMs;
 }
--- a/packages/decisions/list-statements.ts
+++ b/packages/decisions/list-confirmations.ts
@@ -1,4 +1,4 @@
-import type {AcceptorStatement} from './acceptor-statement.ts';
+import type {AcceptorConfirmation} from './acceptor-confirmation.ts';
 import type {HostState} from './host-state.ts';
 
 /**
@@ -10,13 +10,13 @@
  * @param state The host's state.
  * @param options Milliseconds without the table after which an acceptor's word ends, and monotonic milliseconds.
  */
-export function listStatements(
+export function listConfirmations(
 	state: HostState,
-	options: {readonly span: number; readonly now: number},
-): readonly AcceptorStatement[] {
+	options: {readonly maxTableAgeMs: number; readonly now: number},
+): readonly AcceptorConfirmation[] {
 	const {self} = state.membership;
-	const isSpeaking = !state.isCommitting && options.now >= state.speaksFrom && options.now - state.provenAt <= options.span;
+	const isSpeaking = !state.isCommitting && options.now >= state.confirmsFrom && options.now - state.tableConfirmedAt <= options.maxTableAgeMs;
 	return state.roster.acceptors
-		.map(id => ({id, at: id === self ? (isSpeaking ? options.now : -Infinity) : state.statements.get(id) ?? -Infinity}))
-		.filter(({at}) => at !== -Infinity);
+		.map(id => ({id, confirmedAt: id === self ? (isSpeaking ? options.now : -Infinity) : state.confirmations.get(id) ?? -Infinity}))
+		.filter(({confirmedAt}) => confirmedAt !== -Infinity);
 }
--- a/packages/decisions/list-news.ts
+++ b/packages/decisions/list-member-updates.ts
@@ -1,4 +1,4 @@
-import type {MemberNews} from './member-news.ts';
+import type {MemberUpdate} from './member-update.ts';
 import type {HostState} from './host-state.ts';
 
 /** Milliseconds for which a change of liveness is passed on; the ring is crossed in less. */
@@ -9,7 +9,7 @@
  *
  * A host that drains tells that it is gone, so that others send it nothing new.
  */
-export function listNews({membership, isDraining}: HostState, now: number): readonly MemberNews[] {
+export function listMemberUpdates({membership, isDraining}: HostState, now: number): readonly MemberUpdate[] {
 	const recent = [...membership.members]
 		.filter(([, member]) => now - member.changedAt <= newsSpan)
 		.map(([id, member]) => ({id, incarnation: member.incarnation, isAlive: member.isAlive}));
--- a/packages/decisions/member-news.ts
+++ b/packages/decisions/member-update.ts
@@ -1,5 +1,5 @@
 /** What one host tells another of a third. */
-export type MemberNews = {
+export type MemberUpdate = {
 	readonly id: string;
 	readonly incarnation: number;
 	readonly isAlive: boolean;
--- a/packages/decisions/step-host.ts
+++ b/packages/decisions/step-host.ts
@@ -3,9 +3,9 @@
 import {adoptPrimary} from './adopt-primary.ts';
 import {applyExchange} from './apply-exchange.ts';
 import {applyFleet} from './apply-fleet.ts';
-import {applyNews} from './apply-news.ts';
+import {applyMemberUpdates} from './apply-member-updates.ts';
 import {applyReport} from './apply-report.ts';
-import {applyStatements} from './apply-statements.ts';
+import {applyConfirmations} from './apply-confirmations.ts';
 import {assignWatch} from './assign-watch.ts';
 import {createGroupView} from './create-group-view.ts';
 import {listLiveHosts} from './list-live-hosts.ts';
@@ -141,17 +141,17 @@
 	{event, now}: {readonly event: EventOf<'exchanged'>; readonly now: number},
 ): HostStep {
 	const heard = applyExchange(state.membership, {id: event.id, incarnation: event.incarnation, now});
-	const membership = applyNews(heard, {news: event.news, now});
+	const membership = applyMemberUpdates(heard, {memberUpdates: event.memberUpdates, now});
 	const adopted = adoptFleet(state, {
 		fleet: event.fleet ?? state,
-		provenAt: event.head >= state.roster.head ? event.provenAt : -Infinity,
+		confirmedAt: event.head >= state.roster.head ? event.confirmedAt : -Infinity,
 		now,
 	});
 	const hasSameHead = event.head === adopted.state.roster.head;
 	const statements = hasSameHead
-		? applyStatements(adopted.state.statements, event.statements)
-		: adopted.state.statements;
-	const told = adoptPrimaries({...adopted.state, statements}, event);
+		? applyConfirmations(adopted.state.confirmations, event.confirmations)
+		: adopted.state.confirmations;
+	const told = adoptPrimaries({...adopted.state, confirmations: statements}, event);
 	const versions = new Map(state.versions).set(event.id, event.version);
 	const isChanged = listLiveHosts(membership).length !== listLiveHosts(state.membership).length;
 	const next = {...told.state, membership, versions};
--- a/packages/decisions/step-tick.ts
+++ b/packages/decisions/step-tick.ts
@@ -72,7 +72,7 @@
 	}
 
 	if (now >= state.nextVersionReadAt) {
-		const isDue = now - state.provenAt >= settings.versionFallback || isReader(state);
+		const isDue = now - state.tableConfirmedAt >= settings.versionFallback || isReader(state);
 		effects.push(...(isDue ? [{kind: 'readVersion'} as const] : []));
 		next = {...next, nextVersionReadAt: now + settings.versionInterval};
 	}
--- a/packages/hosts/exchange-content.ts
+++ b/packages/hosts/exchange-content.ts
@@ -1,4 +1,4 @@
-import type {GroupPrimary, MemberNews} from '@sapphirefall/decisions';
+import type {GroupPrimary, MemberUpdate} from '@sapphirefall/decisions';
 
 /** What one host tells another in an exchange. */
 export type ExchangeContent = {
@@ -17,7 +17,7 @@
 	readonly digest: string;
 	/** Empty when the other side's digest is not known to differ. */
 	readonly primaries: readonly GroupPrimary[];
-	readonly news: readonly MemberNews[];
+	readonly news: readonly MemberUpdate[];
 	/** Hybrid logical time. */
 	readonly time: bigint;
 };
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -1,5 +1,5 @@
 import {
-	addLoan, createLoanAccount, findHome, findStandby, isRosterProven, settleLoanAccount, spendUnits,
+	addLoan, createLoanAccount, findHome, findStandby, isRosterConfirmed, settleLoanAccount, spendUnits,
 	type AdmittedRequest, type HostState, type LoanAccount,
 } from '@sapphirefall/decisions';
 import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
@@ -45,7 +45,7 @@
 	const emptyUntil = new Map<string, number>();
 	const borrowing = new Map<string, Promise<Borrowed>>();
 
-	const isProven = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
+	const isProven = () => isRosterConfirmed(options.readState(), {maxAgeMs: settings.proofLimit, now: now()});
 
 	const readPurse = (workspace: string) => purses.get(workspace) ?? createLoanAccount(now());
 
--- a/packages/proxy/create-bucket-homes.test.ts
+++ b/packages/proxy/create-bucket-homes.test.ts
@@ -21,7 +21,7 @@
 		configuration: {...base.configuration, workspaces: {upper: {...limit, databases: []}}},
 		roster: only,
 		homesKnownAt: 9900,
-		provenAt: clock.now,
+		tableConfirmedAt: clock.now,
 	});
 	const homes = createBucketHomes({
 		self: 'a', settings, readState, findPeer: () => undefined, now: () => clock.now,
--- a/packages/proxy/create-bucket-homes.ts
+++ b/packages/proxy/create-bucket-homes.ts
@@ -1,6 +1,6 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	findHome, findStandby, isRosterProven, lendUnits, type HomeBucket, type HostState,
+	findHome, findStandby, isRosterConfirmed, lendUnits, type HomeBucket, type HostState,
 } from '@sapphirefall/decisions';
 import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
 import type {HostFile} from '@sapphirefall/settings';
@@ -39,7 +39,7 @@
 	const {self, settings, now} = options;
 	const homes = new Map<string, Home>();
 
-	const isProven = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
+	const isProven = () => isRosterConfirmed(options.readState(), {maxAgeMs: settings.proofLimit, now: now()});
 
 	/** Finds when a host that the newest roster made a home may begin to lend. */
 	const findStart = () => options.readState().homesKnownAt + settings.proofLimit + (settings.loanSpan * driftMargin);
--- a/packages/proxy/create-change-backend.ts
+++ b/packages/proxy/create-change-backend.ts
@@ -37,7 +37,7 @@
 		const provenAt = now();
 		try {
 			const fleet = await readConfiguration(platform, options.readState());
-			dispatch({kind: 'configurationRead', fleet, provenAt});
+			dispatch({kind: 'configurationRead', fleet, confirmedAt: provenAt});
 			return true;
 		} catch {
 			log.debug('platform: The configuration could not be read.');
@@ -62,7 +62,7 @@
 			change, changeId, basedOn, host: options.self,
 		});
 		if (outcome.kind === 'committed') {
-			dispatch({kind: 'configurationRead', fleet: outcome.fleet, provenAt});
+			dispatch({kind: 'configurationRead', fleet: outcome.fleet, confirmedAt: provenAt});
 			options.events.emit({kind: 'change-committed', detail: `version ${outcome.fleet.configuration.version}`});
 		} else {
 			options.events.emit({kind: 'change-refused', detail: `code ${outcome.code}`});
@@ -121,7 +121,7 @@
 				const fleet = await commitRoster(platform, {...roster, head});
 				countCommits(-1);
 				if (fleet !== undefined) {
-					dispatch({kind: 'configurationRead', fleet, provenAt});
+					dispatch({kind: 'configurationRead', fleet, confirmedAt: provenAt});
 					log.info(`platform: The roster has ${roster.homes.length} live hosts.`);
 				}
 			} catch {
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -1,5 +1,5 @@
 import {
-	hashPrimaries, listNews, listPrimaries, listStatements, type HostEvent, type HostState,
+	hashPrimaries, listConfirmations, listMemberUpdates, listPrimaries, type HostEvent, type HostState,
 } from '@sapphirefall/decisions';
 import type {HybridClock} from '@sapphirefall/events';
 import type {ExchangeContent} from '@sapphirefall/hosts';
@@ -56,12 +56,12 @@
 			incarnation: state.membership.incarnation,
 			version: state.configuration.version,
 			head: state.roster.head,
-			age: at - state.provenAt,
+			age: at - state.tableConfirmedAt,
 			fleet: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
-			statements: listStatements(state, {span: options.wordSpan, now: at}).map(({id, at: given}) => ({id, age: at - given})),
+			statements: listConfirmations(state, {maxTableAgeMs: options.wordSpan, now: at}).map(({id, confirmedAt: given}) => ({id, age: at - given})),
 			digest,
 			primaries: other !== undefined && other.digest !== digest ? primaries : [],
-			news: listNews(state, at),
+			news: listMemberUpdates(state, at),
 			time: clock.tick(),
 		};
 	};
@@ -76,10 +76,10 @@
 			version: content.version,
 			head: content.head,
 			fleet: content.fleet === '' ? undefined : parseFleet(content.fleet),
-			statements: content.statements.map(({id, age}) => ({id, at: base - age})),
-			provenAt: base - content.age,
+			confirmations: content.statements.map(({id, age}) => ({id, confirmedAt: base - age})),
+			confirmedAt: base - content.age,
 			primaries: content.primaries,
-			news: content.news,
+			memberUpdates: content.news,
 		});
 	};
 
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -1,4 +1,4 @@
-import {findProvenAt, listLiveHosts, type HostState} from '@sapphirefall/decisions';
+import {findConfirmedAt, listLiveHosts, type HostState} from '@sapphirefall/decisions';
 import {formatEvent, type EventLog} from '@sapphirefall/events';
 import type {Metrics, OperatorBackend} from '@sapphirefall/operators';
 import type {ChangeBackend} from './change-backend.ts';
@@ -24,7 +24,7 @@
 
 /** Creates what carries out operators' requests on this host. */
 export function createOperatorBackend(options: Options): OperatorBackend {
-	const findAge = () => options.now() - findProvenAt(options.readState());
+	const findAge = () => options.now() - findConfirmedAt(options.readState());
 	return {
 		change: options.changes.change,
 		readStatus() {
--- a/packages/proxy/create-rate-gate.ts
+++ b/packages/proxy/create-rate-gate.ts
@@ -1,6 +1,6 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	chooseReserveShare, createRefusal, findProvenAt, resultCodes, takeUnits,
+	chooseReserveShare, createRefusal, findConfirmedAt, resultCodes, takeUnits,
 	type AdmittedRequest, type HostState, type TokenBucket,
 } from '@sapphirefall/decisions';
 import type {HostFile} from '@sapphirefall/settings';
@@ -39,7 +39,7 @@
 		const state = options.readState();
 		const at = now();
 		const share = settings.reserve * chooseReserveShare(state.rosterHistory, {self, span: settings.reserveSpan, now: at});
-		if (share === 0 || at - findProvenAt(state) > settings.reserveSpan) {
+		if (share === 0 || at - findConfirmedAt(state) > settings.reserveSpan) {
 			return false;
 		}
 
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -1,5 +1,5 @@
 import {
-	addRetryCredit, admitRequest, chooseGateway, createRefusal, findProvenAt, resultCodes, takeRetry,
+	addRetryCredit, admitRequest, chooseGateway, createRefusal, findConfirmedAt, resultCodes, takeRetry,
 	type AdmittedRequest, type Answer, type HostState, type Request, type RetryBudget, type SessionClaim,
 } from '@sapphirefall/decisions';
 import type {EventLog} from '@sapphirefall/events';
@@ -52,7 +52,7 @@
 		const {configuration, groups, isDraining} = state;
 		return admitRequest(request, {
 			configuration,
-			confirmedAt: findProvenAt(state),
+			confirmedAt: findConfirmedAt(state),
 			databases: new Set(groups.keys()),
 			isDraining,
 			staleAfter: settings.keys.staleAfter,
