--- a/packages/decisions/adopt-fleet.ts
+++ b/packages/decisions/adopt-fleet-configuration.ts
@@ -9,7 +9,7 @@
  * @param state The state of the host.
  * @param read What was read, when it was the newest at the earliest, and monotonic milliseconds.
  */
-export function adoptFleet(
+export function adoptFleetConfiguration(
 	state: HostState,
 	read: {readonly fleet: FleetConfiguration; readonly confirmedAt: number; readonly now: number},
 ): HostStep {
@@ -38,7 +38,7 @@
 			confirmsFrom: Math.min(state.confirmsFrom, read.now + pendingWriteTimeoutMs),
 			confirmations: new Map(),
 		},
-		effects: isNew ? [{kind: 'tellConfiguration', version: configuration.version}] : [],
+		effects: isNew ? [{kind: 'publishConfiguration', version: configuration.version}] : [],
 	};
 }
 
--- a/packages/decisions/adopt-primary.ts
+++ b/packages/decisions/adopt-primary.ts
@@ -10,6 +10,6 @@
 	}
 
 	return {
-		...view, term: found.term, primary: found.instance, proof: undefined, history: [], acknowledged: undefined,
+		...view, term: found.term, primary: found.instance, proof: undefined, recentProofs: [], acknowledged: undefined,
 	};
 }
--- a/packages/decisions/apply-fleet.ts
+++ b/packages/decisions/apply-host-list.ts
@@ -6,7 +6,7 @@
  *
  * An empty list is ignored, and this host stays known even when the list lags behind its start.
  */
-export function applyFleet(membership: Membership, hosts: readonly Host[]): Membership {
+export function applyHostList(membership: Membership, hosts: readonly Host[]): Membership {
 	if (hosts.length === 0) {
 		return membership;
 	}
--- a/packages/decisions/apply-report.ts
+++ b/packages/decisions/apply-report.ts
@@ -35,7 +35,7 @@
 	const instances = new Map(view.instances);
 	const isSame = known?.report.term === report.term && known.report.role === report.role;
 	instances.set(report.instance, {
-		report, sentAt, heardAt: now, changedAt: isSame ? known.changedAt : now,
+		report, sentAt, answeredAt: now, changedAt: isSame ? known.changedAt : now,
 	});
 	const heard = {...view, instances};
 	const adopted = report.role === 'primary'
@@ -45,7 +45,7 @@
 	return {
 		...adopted,
 		proof: chooseNewer(adopted.proof, proof),
-		history: extendHistory(adopted.history, proof, now),
+		recentProofs: extendHistory(adopted.recentProofs, proof, now),
 		acknowledged: findAcknowledged(adopted),
 	};
 }
@@ -73,7 +73,7 @@
 	}
 
 	const since = Math.min(primary.sentAt, ...others.slice(0, needed));
-	return {term: view.term, at: primary.report.at, since};
+	return {term: view.term, point: primary.report.at, since};
 }
 
 function chooseNewer(old: TermProof | undefined, found: TermProof | undefined): TermProof | undefined {
--- a/packages/decisions/assign-watch.test.ts
+++ b/packages/decisions/assign-watch.test.ts
@@ -26,11 +26,11 @@
 
 	it('asks another zone to agree also when all its hosts are silent', () => {
 		expect(assign('c1', [createHost('c1')])).to.deep.equal({
-			rank: 0, needsAgreement: true, others: [], since: 5,
+			rank: 0, needsConfirmation: true, others: [], since: 5,
 		});
 	});
 
 	it('asks nobody when the platform lists hosts in one zone alone', () => {
-		expect(assign('c1', [createHost('c1')], [createHost('c1')])).to.have.property('needsAgreement', false);
+		expect(assign('c1', [createHost('c1')], [createHost('c1')])).to.have.property('needsConfirmation', false);
 	});
 });
--- a/packages/decisions/assign-watch.ts
+++ b/packages/decisions/assign-watch.ts
@@ -1,5 +1,5 @@
 import {rankHosts} from './rank-hosts.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {Group} from './group.ts';
 import type {Host} from './host.ts';
 
@@ -18,10 +18,10 @@
 		readonly live: readonly Host[];
 		/** All hosts that the platform lists. */
 		readonly listed: readonly Host[];
-		readonly present: GroupControl['watch'];
+		readonly present: GroupState['watch'];
 		readonly now: number;
 	},
-): GroupControl['watch'] {
+): GroupState['watch'] {
 	const {
 		self, live, listed, present, now,
 	} = options;
@@ -37,7 +37,7 @@
 	const ranked = rankHosts(resource, watchers);
 	return {
 		rank: ranked.indexOf(self),
-		needsAgreement: new Set(listed.map(({zone}) => zone)).size > 1,
+		needsConfirmation: new Set(listed.map(({zone}) => zone)).size > 1,
 		others: ranked.filter(id => id !== self),
 		since: present?.since ?? now,
 	};
--- a/packages/decisions/choose-partners.ts
+++ b/packages/decisions/choose-exchange-partners.ts
@@ -11,7 +11,7 @@
  * @param membership What is known.
  * @param round Number of the round.
  */
-export function choosePartners(membership: Membership, round: number): readonly Host[] {
+export function chooseExchangePartners(membership: Membership, round: number): readonly Host[] {
 	const ring = [...membership.hosts.values()].toSorted((a, b) => (a.id < b.id ? -1 : 1));
 	const place = ring.findIndex(host => host.id === membership.self);
 	if (place === -1 || ring.length < 2) {
--- a/packages/decisions/choose-instance.ts
+++ b/packages/decisions/choose-instance.ts
@@ -1,4 +1,4 @@
-import {findAge} from './find-age.ts';
+import {findStaleness} from './find-staleness.ts';
 import {isCovered} from './is-covered.ts';
 import type {Freshness} from './freshness.ts';
 import type {GroupView} from './group-view.ts';
@@ -31,7 +31,7 @@
 	const departing = new Set(view.group.instances.filter(({isDeparting}) => isDeparting).map(({id}) => id));
 	const replicas = [...view.instances.values()]
 		.filter(({report}) => report.role === 'replica' && report.term === view.term)
-		.filter(({report, heardAt}) => !departing.has(report.instance) && options.now - heardAt <= silenceLimit)
+		.filter(({report, answeredAt}) => !departing.has(report.instance) && options.now - answeredAt <= silenceLimit)
 		.filter(replica => meetsFreshness(view, replica, options))
 		.toSorted((a, b) => rankReplica(a, zones, options.zone) - rankReplica(b, zones, options.zone));
 	const [replica] = replicas;
@@ -57,7 +57,7 @@
 		}
 
 		case 'within': {
-			return findAge(view, {at: report.at, now: options.now}) <= options.freshness.age;
+			return findStaleness(view, {at: report.at, now: options.now}) <= options.freshness.age;
 		}
 	}
 }
@@ -65,5 +65,5 @@
 /** Ranks by round trip in milliseconds; another zone costs as much as a slow round trip. */
 function rankReplica(view: InstanceView, zones: ReadonlyMap<string, string>, zone: string): number {
 	const otherZoneCost = zones.get(view.report.instance) === zone ? 0 : 1000;
-	return otherZoneCost + view.heardAt - view.sentAt;
+	return otherZoneCost + view.answeredAt - view.sentAt;
 }
--- a/packages/decisions/create-group-view.ts
+++ b/packages/decisions/create-group-view.ts
@@ -9,7 +9,7 @@
 		primary: undefined,
 		instances: new Map(),
 		proof: undefined,
-		history: [],
+		recentProofs: [],
 		acknowledged: undefined,
 	};
 }
--- a/packages/decisions/failover-effect.ts
+++ b/packages/decisions/failover-effect.ts
@@ -4,4 +4,4 @@
 	| {readonly kind: 'fence'; readonly instance: string; readonly term: number}
 	| {readonly kind: 'promote'; readonly instance: string; readonly term: number}
 	| {readonly kind: 'follow'; readonly instance: string; readonly term: number; readonly primary: string}
-	| {readonly kind: 'tell'; readonly step: 'suspected' | 'agreed' | 'fenced' | 'promoted' | 'abandoned' | 'recovered'};
+	| {readonly kind: 'publishStep'; readonly step: 'suspected' | 'agreed' | 'fenced' | 'promoted' | 'abandoned' | 'recovered'};
--- a/packages/decisions/failover-state.ts
+++ b/packages/decisions/failover-state.ts
@@ -4,9 +4,9 @@
 export type FailoverState =
 	| {readonly kind: 'watching'}
 	| {
-		readonly kind: 'agreeing';
+		readonly kind: 'confirming';
 		readonly since: number;
-		readonly agreedAt: number | undefined;
+		readonly confirmedAt: number | undefined;
 	}
 	| {
 		readonly kind: 'fencing';
@@ -20,4 +20,4 @@
 		readonly term: number;
 		readonly instance: string;
 	}
-	| {readonly kind: 'resting'; readonly until: number};
+	| {readonly kind: 'backingOff'; readonly until: number};
--- a/packages/decisions/find-age.ts
+++ b/packages/decisions/find-staleness.ts
@@ -12,15 +12,15 @@
  * @param options The point and the present monotonic milliseconds.
  * @returns Milliseconds, or `Infinity` when nothing is proven.
  */
-export function findAge(
+export function findStaleness(
 	view: GroupView,
 	options: {readonly at: LogPoint; readonly now: number},
 ): number {
 	const {at, now} = options;
-	if (view.proof !== undefined && isCovered(view.proof.at, at)) {
+	if (view.proof !== undefined && isCovered(view.proof.point, at)) {
 		return now - view.proof.since;
 	}
 
-	const proof = view.history.findLast(kept => isCovered(kept.at, at));
+	const proof = view.recentProofs.findLast(kept => isCovered(kept.point, at));
 	return proof === undefined ? Infinity : now - proof.since;
 }
--- a/packages/decisions/group-view.ts
+++ b/packages/decisions/group-view.ts
@@ -13,9 +13,9 @@
 	/** The newest proof that a majority holds the term; undefined before the first. */
 	readonly proof: TermProof | undefined;
 	/** Recent proofs, oldest first, from which the age of replicas follows. */
-	readonly history: readonly TermProof[];
+	readonly recentProofs: readonly TermProof[];
 	/** Highest point that a majority was seen to hold in the term. */
 	readonly acknowledged: LogPointOrNone;
 };
 
-type LogPointOrNone = TermProof['at'] | undefined;
+type LogPointOrNone = TermProof['point'] | undefined;
--- a/packages/decisions/host-effect.ts
+++ b/packages/decisions/host-effect.ts
@@ -9,5 +9,5 @@
 	| {readonly kind: 'changeRoster'; readonly roster: Omit<Roster, 'head' | 'epoch'>}
 	| {readonly kind: 'probe'; readonly database: string}
 	| {readonly kind: 'failover'; readonly database: string; readonly effect: FailoverEffect}
-	| {readonly kind: 'tellPrimary'; readonly database: string; readonly term: number; readonly instance: string}
-	| {readonly kind: 'tellConfiguration'; readonly version: number};
+	| {readonly kind: 'publishPrimary'; readonly database: string; readonly term: number; readonly instance: string}
+	| {readonly kind: 'publishConfiguration'; readonly version: number};
--- a/packages/decisions/host-event.ts
+++ b/packages/decisions/host-event.ts
@@ -33,7 +33,7 @@
 		readonly primaries: readonly GroupPrimary[];
 		readonly memberUpdates: readonly MemberUpdate[];
 	}
-	| {readonly kind: 'demanded'; readonly database: string}
+	| {readonly kind: 'groupRequested'; readonly database: string}
 	| {
 		readonly kind: 'reported';
 		readonly database: string;
@@ -41,5 +41,5 @@
 		readonly sentAt: number;
 	}
 	| {readonly kind: 'failover'; readonly database: string; readonly event: FailoverEvent}
-	| {readonly kind: 'commitChanged'; readonly isCommitting: boolean}
-	| {readonly kind: 'drained'};
+	| {readonly kind: 'commitChanged'; readonly hasPendingCommit: boolean}
+	| {readonly kind: 'drainStarted'};
--- a/packages/decisions/host-state.ts
+++ b/packages/decisions/host-state.ts
@@ -1,5 +1,5 @@
 import type {Configuration} from './configuration.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {Membership} from './membership.ts';
 import type {Roster} from './roster.ts';
 
@@ -7,7 +7,7 @@
 export type HostState = {
 	readonly zone: string;
 	readonly membership: Membership;
-	readonly groups: ReadonlyMap<string, GroupControl>;
+	readonly groups: ReadonlyMap<string, GroupState>;
 	readonly configuration: Configuration;
 	readonly roster: Roster;
 	/** When the present list of homes in the roster became known here. */
@@ -21,11 +21,11 @@
 	/** From when this host, as an acceptor, gives its word; an earlier process of its name has no write under way then. */
 	readonly confirmsFrom: number;
 	/** Whether a commit of this host is unsettled. */
-	readonly isCommitting: boolean;
+	readonly hasPendingCommit: boolean;
 	/** Configuration versions of the other hosts, as last heard. */
-	readonly versions: ReadonlyMap<string, number>;
+	readonly peerVersions: ReadonlyMap<string, number>;
 	readonly isDraining: boolean;
-	readonly round: number;
+	readonly exchangeRound: number;
 	readonly nextExchangeAt: number;
 	readonly nextVersionReadAt: number;
 	readonly nextFleetReadAt: number;
--- a/packages/decisions/instance-view.ts
+++ b/packages/decisions/instance-view.ts
@@ -4,7 +4,7 @@
 export type InstanceView = {
 	readonly report: InstanceReport;
 	readonly sentAt: number;
-	readonly heardAt: number;
+	readonly answeredAt: number;
 	/** When the instance was first heard in its present term and role. */
 	readonly changedAt: number;
 };
--- a/packages/decisions/is-suspected.ts
+++ b/packages/decisions/is-suspected.ts
@@ -24,7 +24,7 @@
 	}
 
 	const primary = view.primary === undefined ? undefined : view.instances.get(view.primary);
-	const lastHeard = primary?.report.term === view.term ? primary.heardAt : watchedSince;
+	const lastHeard = primary?.report.term === view.term ? primary.answeredAt : watchedSince;
 	return now - lastHeard > limit || isOvertaken(view, now - (2 * limit)) || isHandoverDue(view);
 }
 
--- a/packages/decisions/list-confirmations.ts
+++ b/packages/decisions/list-confirmations.ts
@@ -15,7 +15,7 @@
 	options: {readonly maxTableAgeMs: number; readonly now: number},
 ): readonly AcceptorConfirmation[] {
 	const {self} = state.membership;
-	const isSpeaking = !state.isCommitting && options.now >= state.confirmsFrom && options.now - state.tableConfirmedAt <= options.maxTableAgeMs;
+	const isSpeaking = !state.hasPendingCommit && options.now >= state.confirmsFrom && options.now - state.tableConfirmedAt <= options.maxTableAgeMs;
 	return state.roster.acceptors
 		.map(id => ({id, confirmedAt: id === self ? (isSpeaking ? options.now : -Infinity) : state.confirmations.get(id) ?? -Infinity}))
 		.filter(({confirmedAt}) => confirmedAt !== -Infinity);
--- a/packages/decisions/step-failover.test.ts
+++ b/packages/decisions/step-failover.test.ts
@@ -111,7 +111,7 @@
 		}
 
 		const next = stepFailover(state, {
-			event, view, settings, watchedSince: 0, rank: index, needsAgreement: false, now,
+			event, view, settings, watchedSince: 0, rank: index, needsConfirmation: false, now,
 		});
 		states[index] = next.state;
 		for (const effect of next.effects) {
@@ -164,7 +164,7 @@
 			}
 
 			case 'askConfirmation':
-			case 'tell': {
+			case 'publishStep': {
 				break;
 			}
 		}
--- a/packages/decisions/step-failover.ts
+++ b/packages/decisions/step-failover.ts
@@ -19,7 +19,7 @@
 	/** Number of watchers of the group that act before this one. */
 	readonly rank: number;
 	/** Whether a second zone must agree; false only when the fleet has hosts in one zone alone. */
-	readonly needsAgreement: boolean;
+	readonly needsConfirmation: boolean;
 	readonly now: number;
 };
 
@@ -47,7 +47,7 @@
 			return stepWatching(input);
 		}
 
-		case 'agreeing': {
+		case 'confirming': {
 			return stepAgreeing(state, input);
 		}
 
@@ -59,7 +59,7 @@
 			return stepPromoting(state, input);
 		}
 
-		case 'resting': {
+		case 'backingOff': {
 			return {state: input.now >= state.until ? watching : state, effects: []};
 		}
 	}
@@ -68,8 +68,8 @@
 function stepWatching(input: Input): Step {
 	if (isSuspected(input.view, input)) {
 		return {
-			state: {kind: 'agreeing', since: input.now, agreedAt: input.needsAgreement ? undefined : input.now},
-			effects: [{kind: 'tell', step: 'suspected'}, {kind: 'askConfirmation', term: input.view.term}],
+			state: {kind: 'confirming', since: input.now, confirmedAt: input.needsConfirmation ? undefined : input.now},
+			effects: [{kind: 'publishStep', step: 'suspected'}, {kind: 'askConfirmation', term: input.view.term}],
 		};
 	}
 
@@ -84,7 +84,7 @@
 	}
 
 	return [...view.instances.values()]
-		.filter(({heardAt}) => now - heardAt <= followWindow)
+		.filter(({answeredAt}) => now - answeredAt <= followWindow)
 		.map(({report}) => report)
 		.filter(report => report.instance !== primary)
 		.filter(report => report.term < term || (report.term === term && report.role !== 'replica'))
@@ -94,28 +94,28 @@
 }
 
 function stepAgreeing(
-	state: Extract<FailoverState, {readonly kind: 'agreeing'}>,
+	state: Extract<FailoverState, {readonly kind: 'confirming'}>,
 	input: Input,
 ): Step {
 	const {event, now, settings} = input;
 	if (!isSuspected(input.view, input)) {
-		return {state: watching, effects: [{kind: 'tell', step: 'recovered'}]};
+		return {state: watching, effects: [{kind: 'publishStep', step: 'recovered'}]};
 	}
 
-	const agreedAt = state.agreedAt ?? (event.kind === 'confirmed' ? now : undefined);
-	if (agreedAt !== undefined && now >= agreedAt + (input.rank * settings.stagger)) {
+	const confirmedAt = state.confirmedAt ?? (event.kind === 'confirmed' ? now : undefined);
+	if (confirmedAt !== undefined && now >= confirmedAt + (input.rank * settings.stagger)) {
 		return startFencing(input);
 	}
 
-	if (agreedAt === undefined && now - state.since > settings.stepTimeout) {
+	if (confirmedAt === undefined && now - state.since > settings.stepTimeout) {
 		return {
 			state: {...state, since: now},
 			effects: [{kind: 'askConfirmation', term: input.view.term}],
 		};
 	}
 
-	const isNew = agreedAt !== undefined && state.agreedAt === undefined;
-	return {state: {...state, agreedAt}, effects: isNew ? [{kind: 'tell', step: 'agreed'}] : []};
+	const isNew = confirmedAt !== undefined && state.confirmedAt === undefined;
+	return {state: {...state, confirmedAt}, effects: isNew ? [{kind: 'publishStep', step: 'agreed'}] : []};
 }
 
 function startFencing(input: Input): Step {
@@ -135,7 +135,7 @@
 	input: Input,
 ): Step {
 	if (input.view.term >= state.term) {
-		return {state: watching, effects: [{kind: 'tell', step: 'recovered'}]};
+		return {state: watching, effects: [{kind: 'publishStep', step: 'recovered'}]};
 	}
 
 	const {event} = input;
@@ -165,7 +165,7 @@
 		state: {
 			kind: 'promoting', since: input.now, term: state.term, instance,
 		},
-		effects: [{kind: 'tell', step: 'fenced'}, {kind: 'promote', instance, term: state.term}],
+		effects: [{kind: 'publishStep', step: 'fenced'}, {kind: 'promote', instance, term: state.term}],
 	};
 }
 
@@ -191,7 +191,7 @@
 	const {event} = input;
 	if (event.kind === 'promoteAnswered' && event.term === state.term) {
 		return event.isGranted
-			? {state: watching, effects: [{kind: 'tell', step: 'promoted'}, ...listOthers(state, input.view)]}
+			? {state: watching, effects: [{kind: 'publishStep', step: 'promoted'}, ...listOthers(state, input.view)]}
 			: createRest(input);
 	}
 
@@ -223,5 +223,5 @@
 
 function createRest(input: Input): Step {
 	const until = input.now + ((input.rank + 1) * input.settings.stagger);
-	return {state: {kind: 'resting', until}, effects: [{kind: 'tell', step: 'abandoned'}]};
+	return {state: {kind: 'backingOff', until}, effects: [{kind: 'publishStep', step: 'abandoned'}]};
 }
--- a/packages/decisions/step-group-failover.ts
+++ b/packages/decisions/step-group-failover.ts
@@ -1,11 +1,11 @@
 import {stepFailover} from './step-failover.ts';
 import type {FailoverEvent} from './failover-event.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {HostEffect} from './host-effect.ts';
 import type {HostSettings} from './host-settings.ts';
 
 /** What a host keeps of a group after an event, and what to do. */
-type GroupStep = {readonly group: GroupControl; readonly effects: readonly HostEffect[]};
+type GroupStep = {readonly group: GroupState; readonly effects: readonly HostEffect[]};
 
 /**
  * Moves the failover of one group by one event, if this host watches the group.
@@ -14,7 +14,7 @@
  * @param input The event, the settings, and monotonic milliseconds.
  */
 export function stepGroupFailover(
-	group: GroupControl,
+	group: GroupState,
 	input: {readonly event: FailoverEvent; readonly settings: HostSettings; readonly now: number},
 ): GroupStep {
 	if (group.watch === undefined) {
@@ -28,7 +28,7 @@
 		settings: input.settings.failover,
 		watchedSince: group.watch.since,
 		rank: group.watch.rank,
-		needsAgreement: group.watch.needsAgreement,
+		needsConfirmation: group.watch.needsConfirmation,
 		now: input.now,
 	});
 	return {
--- a/packages/decisions/step-host.ts
+++ b/packages/decisions/step-host.ts
@@ -1,8 +1,8 @@
 import {updateGroup} from './_update-group.ts';
-import {adoptFleet} from './adopt-fleet.ts';
+import {adoptFleetConfiguration} from './adopt-fleet-configuration.ts';
 import {adoptPrimary} from './adopt-primary.ts';
 import {applyExchange} from './apply-exchange.ts';
-import {applyFleet} from './apply-fleet.ts';
+import {applyHostList} from './apply-host-list.ts';
 import {applyMemberUpdates} from './apply-member-updates.ts';
 import {applyReport} from './apply-report.ts';
 import {applyConfirmations} from './apply-confirmations.ts';
@@ -11,7 +11,7 @@
 import {listLiveHosts} from './list-live-hosts.ts';
 import {stepGroupFailover} from './step-group-failover.ts';
 import {stepTick} from './step-tick.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {Group} from './group.ts';
 import type {HostEffect} from './host-effect.ts';
 import type {HostEvent} from './host-event.ts';
@@ -42,13 +42,13 @@
 		}
 
 		case 'fleetRead': {
-			const membership = applyFleet(state.membership, event.hosts);
+			const membership = applyHostList(state.membership, event.hosts);
 			const groups = mergeGroups(state.groups, event.groups);
 			return {state: assignWatches({...state, groups}, {membership, now: input.now}), effects: []};
 		}
 
 		case 'configurationRead': {
-			return adoptFleet(state, {...event, now: input.now});
+			return adoptFleetConfiguration(state, {...event, now: input.now});
 		}
 
 		case 'exchangeFailed': {
@@ -60,8 +60,8 @@
 			return stepExchanged(state, {event, now: input.now});
 		}
 
-		case 'demanded': {
-			return {state: updateGroup(state, event.database, group => ({...group, demandedAt: input.now})), effects: []};
+		case 'groupRequested': {
+			return {state: updateGroup(state, event.database, group => ({...group, lastRequestAt: input.now})), effects: []};
 		}
 
 		case 'reported': {
@@ -73,10 +73,10 @@
 		}
 
 		case 'commitChanged': {
-			return {state: {...state, isCommitting: event.isCommitting}, effects: []};
+			return {state: {...state, hasPendingCommit: event.hasPendingCommit}, effects: []};
 		}
 
-		case 'drained': {
+		case 'drainStarted': {
 			return {state: {...state, isDraining: true}, effects: []};
 		}
 	}
@@ -86,9 +86,9 @@
 
 /** Joins the platform's groups with what is known of them; instances may come and go, groups that are not listed stay. */
 function mergeGroups(
-	known: ReadonlyMap<string, GroupControl>,
+	known: ReadonlyMap<string, GroupState>,
 	listed: readonly Group[],
-): ReadonlyMap<string, GroupControl> {
+): ReadonlyMap<string, GroupState> {
 	const groups = new Map(known);
 	for (const group of listed) {
 		const old = groups.get(group.database);
@@ -100,9 +100,9 @@
 	return groups;
 }
 
-function createControl(group: Group): GroupControl {
+function createControl(group: Group): GroupState {
 	return {
-		view: createGroupView(group), failover: {kind: 'watching'}, watch: undefined, demandedAt: -Infinity, nextProbeAt: 0,
+		view: createGroupView(group), failover: {kind: 'watching'}, watch: undefined, lastRequestAt: -Infinity, nextProbeAt: 0,
 	};
 }
 
@@ -142,7 +142,7 @@
 ): HostStep {
 	const heard = applyExchange(state.membership, {id: event.id, incarnation: event.incarnation, now});
 	const membership = applyMemberUpdates(heard, {memberUpdates: event.memberUpdates, now});
-	const adopted = adoptFleet(state, {
+	const adopted = adoptFleetConfiguration(state, {
 		fleet: event.fleet ?? state,
 		confirmedAt: event.head >= state.roster.head ? event.confirmedAt : -Infinity,
 		now,
@@ -152,9 +152,9 @@
 		? applyConfirmations(adopted.state.confirmations, event.confirmations)
 		: adopted.state.confirmations;
 	const told = adoptPrimaries({...adopted.state, confirmations: statements}, event);
-	const versions = new Map(state.versions).set(event.id, event.version);
+	const peerVersions = new Map(state.peerVersions).set(event.id, event.version);
 	const isChanged = listLiveHosts(membership).length !== listLiveHosts(state.membership).length;
-	const next = {...told.state, membership, versions};
+	const next = {...told.state, membership, peerVersions};
 	return {
 		state: isChanged ? assignWatches(next, {membership, now}) : next,
 		effects: [...adopted.effects, ...told.effects],
@@ -168,7 +168,7 @@
 		const old = next.groups.get(primary.database)?.view;
 		next = updateGroup(next, primary.database, group => ({...group, view: adoptPrimary(group.view, primary)}));
 		if (next.groups.get(primary.database)?.view !== old) {
-			effects.push({kind: 'tellPrimary', ...primary});
+			effects.push({kind: 'publishPrimary', ...primary});
 		}
 	}
 
@@ -191,7 +191,7 @@
 		state: next,
 		effects: isNew
 			? [{
-				kind: 'tellPrimary', database: event.database, term: view.term, instance: view.primary,
+				kind: 'publishPrimary', database: event.database, term: view.term, instance: view.primary,
 			}]
 			: [],
 	};
--- a/packages/decisions/step-tick.ts
+++ b/packages/decisions/step-tick.ts
@@ -1,9 +1,9 @@
-import {choosePartners} from './choose-partners.ts';
+import {chooseExchangePartners} from './choose-exchange-partners.ts';
 import {chooseRoster} from './choose-roster.ts';
 import {listLiveHosts} from './list-live-hosts.ts';
 import {rankHosts} from './rank-hosts.ts';
 import {stepGroupFailover} from './step-group-failover.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {HostEffect} from './host-effect.ts';
 import type {HostSettings} from './host-settings.ts';
 import type {HostState} from './host-state.ts';
@@ -42,8 +42,8 @@
 }
 
 /** Probes a group that is watched or in use when it is due, and moves its failover on. */
-function tickGroup(group: GroupControl, {settings, now}: Input) {
-	const isUsed = now - group.demandedAt <= settings.demandSpan;
+function tickGroup(group: GroupState, {settings, now}: Input) {
+	const isUsed = now - group.lastRequestAt <= settings.demandSpan;
 	const isDue = (group.watch !== undefined || isUsed) && now >= group.nextProbeAt;
 	const probed = isDue ? {...group, nextProbeAt: now + settings.probeInterval} : group;
 	const probe: readonly HostEffect[] = isDue ? [{kind: 'probe', database: group.view.group.database}] : [];
@@ -56,9 +56,9 @@
 		return {state, effects: []};
 	}
 
-	const partners = choosePartners(state.membership, state.round);
+	const partners = chooseExchangePartners(state.membership, state.exchangeRound);
 	return {
-		state: {...state, round: state.round + 1, nextExchangeAt: now + settings.exchangeInterval},
+		state: {...state, exchangeRound: state.exchangeRound + 1, nextExchangeAt: now + settings.exchangeInterval},
 		effects: partners.map(({id}) => ({kind: 'exchange', partner: id})),
 	};
 }
--- a/packages/decisions/term-proof.ts
+++ b/packages/decisions/term-proof.ts
@@ -7,7 +7,7 @@
  */
 export type TermProof = {
 	readonly term: number;
-	readonly at: LogPoint;
+	readonly point: LogPoint;
 	/** Monotonic milliseconds: when the oldest probe of the proof was sent. */
 	readonly since: number;
 };
--- a/packages/proxy/create-change-backend.ts
+++ b/packages/proxy/create-change-backend.ts
@@ -30,7 +30,7 @@
 
 	const countCommits = (step: number) => {
 		commits += step;
-		dispatch({kind: 'commitChanged', isCommitting: commits > 0});
+		dispatch({kind: 'commitChanged', hasPendingCommit: commits > 0});
 	};
 
 	const readVersion = async () => {
--- a/packages/proxy/create-failover-runner.ts
+++ b/packages/proxy/create-failover-runner.ts
@@ -76,7 +76,7 @@
 
 	const run = async (database: string, effect: FailoverEffect) => {
 		switch (effect.kind) {
-			case 'tell': {
+			case 'publishStep': {
 				tell(database, effect.step);
 				break;
 			}
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -46,7 +46,7 @@
 					id: host.id,
 					zone: host.zone,
 					alive: live.has(host.id),
-					configVersion: host.id === options.self ? state.configuration.version : state.versions.get(host.id) ?? 0,
+					configVersion: host.id === options.self ? state.configuration.version : state.peerVersions.get(host.id) ?? 0,
 				})),
 				roster: [...state.roster.homes],
 				acceptors: [...state.roster.acceptors],
--- a/packages/proxy/execute-read.ts
+++ b/packages/proxy/execute-read.ts
@@ -1,5 +1,5 @@
 import {
-	chooseInstance, createRefusal, findAge, isCovered, resultCodes,
+	chooseInstance, createRefusal, findStaleness, isCovered, resultCodes,
 	type AdmittedRequest, type Answer, type GroupView, type LogPoint, type SqlResult,
 } from '@sapphirefall/decisions';
 import {repeatAttempts} from './_repeat-attempts.ts';
@@ -135,7 +135,7 @@
 	}
 
 	return freshness.kind === 'within'
-		? findAge(context.group.view(), {at: result.at, now: context.now()}) <= freshness.age
+		? findStaleness(context.group.view(), {at: result.at, now: context.now()}) <= freshness.age
 		: point !== undefined && isCovered(point, result.at);
 }
 
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -122,13 +122,13 @@
 				break;
 			}
 
-			case 'tellPrimary': {
+			case 'publishPrimary': {
 				events.emit({kind: 'primary-known', database: effect.database, detail: `${effect.instance} in term ${effect.term}`});
 				log.info(`endpoints: Database ${effect.database} has primary ${effect.instance} in term ${effect.term}.`);
 				break;
 			}
 
-			case 'tellConfiguration': {
+			case 'publishConfiguration': {
 				metrics.configurationVersion.set(effect.version);
 				events.emit({kind: 'configuration-in-force', detail: `version ${effect.version}`});
 				log.info(`platform: Configuration version ${effect.version} is in force.`);
@@ -184,7 +184,7 @@
 			const at = now();
 			if (at - (demandedAt.get(database) ?? -Infinity) > settings.control.probeInterval) {
 				demandedAt.set(database, at);
-				dispatch({kind: 'demanded', database});
+				dispatch({kind: 'groupRequested', database});
 			}
 		},
 		findPeer,
@@ -234,7 +234,7 @@
 		async drain() {
 			events.emit({kind: 'process-draining'});
 			log.info('host: The host takes no more requests.');
-			dispatch({kind: 'drained'});
+			dispatch({kind: 'drainStarted'});
 			await requests.waitForIdle();
 		},
 		stop() {
