--- a/packages/decisions/_update-group.ts
+++ b/packages/decisions/_update-group.ts
@@ -1,7 +1,7 @@
 import type {GroupState} from './group-state.ts';
 import type {HostState} from './host-state.ts';
 
-/** Updates what a host keeps of one database group; a group that is not known is left out. */
+/** Updates the state of one database group; returns the host's state unchanged if the host does not know the group. */
 export function updateGroup(
 	state: HostState,
 	database: string,
--- a/packages/decisions/adopt-fleet-configuration.ts
+++ b/packages/decisions/adopt-fleet-configuration.ts
@@ -4,10 +4,11 @@
 import type {HostStep} from './host-step.ts';
 
 /**
- * Adopts a configuration and a roster that are not older than the known ones.
+ * Adopts a configuration and a roster unless the known ones are newer.
  *
  * @param state The state of the host.
- * @param read What was read, when it was the newest at the earliest, and monotonic milliseconds.
+ * @param read The configuration and the roster, the moment as of which they are confirmed to be the newest, and the
+ * present time; both times are monotonic milliseconds.
  */
 export function adoptFleetConfiguration(
 	state: HostState,
@@ -18,15 +19,15 @@
 		return {state, effects: []};
 	}
 
-	const provenAt = Math.max(state.tableConfirmedAt, read.confirmedAt);
+	const confirmedAt = Math.max(state.tableConfirmedAt, read.confirmedAt);
 	if (roster.head === state.roster.head) {
-		return {state: {...state, tableConfirmedAt: provenAt}, effects: []};
+		return {state: {...state, tableConfirmedAt: confirmedAt}, effects: []};
 	}
 
-	// A roster that was missed may have made another host the home meanwhile.
-	const hasMissed = roster.epoch > state.roster.epoch + 1;
-	const hasNewHomes = hasMissed || roster.homes.join(' ') !== state.roster.homes.join(' ');
-	const isNew = configuration.version > state.configuration.version;
+	// A roster that this host has missed may have named other homes in the meantime.
+	const hasMissedRoster = roster.epoch > state.roster.epoch + 1;
+	const hasNewHomes = hasMissedRoster || roster.homes.join(' ') !== state.roster.homes.join(' ');
+	const isNewVersion = configuration.version > state.configuration.version;
 	return {
 		state: {
 			...state,
@@ -34,16 +35,16 @@
 			roster,
 			homesKnownAt: hasNewHomes ? read.now : state.homesKnownAt,
 			rosterHistory: extendRosterHistory(state.rosterHistory, {hosts: roster.hosts, at: read.now}),
-			tableConfirmedAt: provenAt,
+			tableConfirmedAt: confirmedAt,
 			confirmsFrom: Math.min(state.confirmsFrom, read.now + pendingWriteTimeoutMs),
 			confirmations: new Map(),
 		},
-		effects: isNew ? [{kind: 'publishConfiguration', version: configuration.version}] : [],
+		effects: isNewVersion ? [{kind: 'publishConfiguration', version: configuration.version}] : [],
 	};
 }
 
-/** Rosters that are remembered; more than change within the span of a reserve. */
-const rostersKept = 1000;
+/** Rosters kept in the history; more than the fleet goes through in the time for which a reserve share may be used. */
+const maxRosterHistory = 1000;
 
 function extendRosterHistory(
 	history: HostState['rosterHistory'],
@@ -51,5 +52,5 @@
 ): HostState['rosterHistory'] {
 	return history.at(-1)?.hosts.join(' ') === next.hosts.join(' ')
 		? history
-		: [...history, next].slice(-rostersKept);
+		: [...history, next].slice(-maxRosterHistory);
 }
--- a/packages/decisions/apply-confirmations.ts
+++ b/packages/decisions/apply-confirmations.ts
@@ -1,14 +1,18 @@
 import type {AcceptorConfirmation} from './acceptor-confirmation.ts';
 
-/** Applies what another host told of the acceptors' word; the newest word of each counts. */
+/**
+ * Merges the acceptors' confirmations that another host sent; the newest of each acceptor counts.
+ *
+ * @returns When each acceptor last confirmed, in monotonic milliseconds.
+ */
 export function applyConfirmations(
 	known: ReadonlyMap<string, number>,
-	told: readonly AcceptorConfirmation[],
+	received: readonly AcceptorConfirmation[],
 ): ReadonlyMap<string, number> {
-	const statements = new Map(known);
-	for (const {id, confirmedAt: at} of told) {
-		statements.set(id, Math.max(at, statements.get(id) ?? -Infinity));
+	const confirmations = new Map(known);
+	for (const {id, confirmedAt} of received) {
+		confirmations.set(id, Math.max(confirmedAt, confirmations.get(id) ?? -Infinity));
 	}
 
-	return statements;
+	return confirmations;
 }
--- a/packages/decisions/apply-exchange.ts
+++ b/packages/decisions/apply-exchange.ts
@@ -1,13 +1,13 @@
 import type {Membership} from './membership.ts';
 
-/** Exchanges that must fail in a row before a host is taken for dead. */
+/** Exchanges that must fail in a row before a host counts as dead. */
 const failureLimit = 2;
 
 /**
  * Applies the outcome of an exchange with another host.
  *
- * @param membership What is known.
- * @param options The other host, its incarnation or `undefined` when it did not answer, and monotonic milliseconds.
+ * @param membership The membership so far.
+ * @param options The other host, its incarnation or `undefined` if it did not answer, and monotonic milliseconds.
  */
 export function applyExchange(
 	membership: Membership,
--- a/packages/decisions/apply-host-list.ts
+++ b/packages/decisions/apply-host-list.ts
@@ -2,9 +2,9 @@
 import type {Membership} from './membership.ts';
 
 /**
- * Applies a platform list of hosts; hosts that left it are forgotten.
+ * Applies the platform's list of hosts; drops the hosts that are no longer listed.
  *
- * An empty list is ignored, and this host stays known even when the list lags behind its start.
+ * Ignores an empty list. Keeps this host even if it is not listed, as the list may lag behind the host's start.
  */
 export function applyHostList(membership: Membership, hosts: readonly Host[]): Membership {
 	if (hosts.length === 0) {
--- a/packages/decisions/apply-member-updates.ts
+++ b/packages/decisions/apply-member-updates.ts
@@ -3,13 +3,13 @@
 import type {Membership} from './membership.ts';
 
 /**
- * Applies what another host told of members, after SWIM (Das, Gupta and Motivala 2002).
+ * Applies the member updates of another host, after SWIM (Das, Gupta and Motivala 2002).
  *
- * A higher incarnation wins; in the same incarnation a death wins. A host that hears of its own death takes a
- * higher incarnation, which refutes it.
+ * A higher incarnation wins; within the same incarnation "dead" wins over "alive". A host that is reported dead
+ * itself takes a higher incarnation, which refutes the report.
  *
- * @param membership What is known.
- * @param options The news and monotonic milliseconds.
+ * @param membership The membership so far.
+ * @param options The updates and monotonic milliseconds.
  */
 export function applyMemberUpdates(
 	membership: Membership,
@@ -17,12 +17,12 @@
 ): Membership {
 	let {incarnation} = membership;
 	const members = new Map(membership.members);
-	for (const item of options.memberUpdates) {
-		if (item.id === membership.self) {
-			incarnation = item.isAlive ? incarnation : Math.max(incarnation, item.incarnation + 1);
-		} else if (isNewer(item, members.get(item.id))) {
-			members.set(item.id, {
-				incarnation: item.incarnation, isAlive: item.isAlive, changedAt: options.now, failures: 0,
+	for (const update of options.memberUpdates) {
+		if (update.id === membership.self) {
+			incarnation = update.isAlive ? incarnation : Math.max(incarnation, update.incarnation + 1);
+		} else if (isNewer(update, members.get(update.id))) {
+			members.set(update.id, {
+				incarnation: update.incarnation, isAlive: update.isAlive, changedAt: options.now, failures: 0,
 			});
 		}
 	}
@@ -30,10 +30,10 @@
 	return {...membership, incarnation, members};
 }
 
-function isNewer(news: MemberUpdate, known: Member | undefined): boolean {
-	if (known === undefined || news.incarnation > known.incarnation) {
+function isNewer(update: MemberUpdate, known: Member | undefined): boolean {
+	if (known === undefined || update.incarnation > known.incarnation) {
 		return true;
 	}
 
-	return news.incarnation === known.incarnation && known.isAlive && !news.isAlive;
+	return update.incarnation === known.incarnation && known.isAlive && !update.isAlive;
 }
--- a/packages/decisions/apply-report.ts
+++ b/packages/decisions/apply-report.ts
@@ -8,19 +8,19 @@
 import type {LogPoint} from './log-point.ts';
 import type {TermProof} from './term-proof.ts';
 
-/** Proofs older than this, in milliseconds, are dropped: no read accepts data that old without asking the primary. */
-const historySpan = 120_000;
+/** Time after which proofs are dropped; no read accepts data that old without asking the primary. */
+const proofRetentionMs = 120_000;
 
-/** Least milliseconds between two proofs kept in the history. */
-const historyStep = 50;
+/** Least time between two proofs that are kept. */
+const minProofIntervalMs = 50;
 
 /**
  * Applies an instance's answer to a probe.
  *
- * Derives the primary, the newest proof that a majority holds the term, and the highest acknowledged point.
+ * Updates the primary, the newest proof that a majority is in the term, and the highest acknowledged point.
  *
  * @param view The view so far.
- * @param options The report, and when its probe left and was answered in monotonic milliseconds.
+ * @param options The report, and when its probe was sent and answered, in monotonic milliseconds.
  */
 export function applyReport(
 	view: GroupView,
@@ -37,33 +37,33 @@
 	instances.set(report.instance, {
 		report, sentAt, answeredAt: now, changedAt: isSame ? known.changedAt : now,
 	});
-	const heard = {...view, instances};
+	const updated = {...view, instances};
 	const adopted = report.role === 'primary'
-		? adoptPrimary(heard, {database: view.group.database, term: report.term, instance: report.instance})
-		: heard;
-	const proof = findProof(adopted);
+		? adoptPrimary(updated, {database: view.group.database, term: report.term, instance: report.instance})
+		: updated;
+	const proof = findTermProof(adopted);
 	return {
 		...adopted,
-		proof: chooseNewer(adopted.proof, proof),
-		recentProofs: extendHistory(adopted.recentProofs, proof, now),
-		acknowledged: findAcknowledged(adopted),
+		proof: chooseNewerProof(adopted.proof, proof),
+		recentProofs: extendRecentProofs(adopted.recentProofs, proof, now),
+		acknowledged: findAcknowledgedPoint(adopted),
 	};
 }
 
-/** Lists the instances whose newest report is of the view's term and that take part in it. */
-function listMembers(view: GroupView): readonly InstanceView[] {
+/** Lists the instances that take part in the view's term, by their newest reports; fenced ones do not. */
+function listTermMembers(view: GroupView): readonly InstanceView[] {
 	return [...view.instances.values()]
 		.filter(({report}) => report.term === view.term && report.role !== 'fenced');
 }
 
-/** Finds the proof that the newest reports give, if a majority with the primary holds the term. */
-function findProof(view: GroupView): TermProof | undefined {
+/** Finds the proof that the newest reports give; `undefined` unless a majority that includes the primary is in the term. */
+function findTermProof(view: GroupView): TermProof | undefined {
 	const primary = view.primary === undefined ? undefined : view.instances.get(view.primary);
 	if (primary?.report.role !== 'primary' || primary.report.at.term !== view.term) {
 		return undefined;
 	}
 
-	const others = listMembers(view)
+	const others = listTermMembers(view)
 		.filter(member => member !== primary)
 		.map(member => member.sentAt)
 		.toSorted((a, b) => b - a);
@@ -76,7 +76,7 @@
 	return {term: view.term, point: primary.report.at, since};
 }
 
-function chooseNewer(old: TermProof | undefined, found: TermProof | undefined): TermProof | undefined {
+function chooseNewerProof(old: TermProof | undefined, found: TermProof | undefined): TermProof | undefined {
 	if (old === undefined || (found !== undefined && found.since > old.since)) {
 		return found;
 	}
@@ -84,24 +84,24 @@
 	return old;
 }
 
-function extendHistory(
-	history: readonly TermProof[],
+function extendRecentProofs(
+	proofs: readonly TermProof[],
 	proof: TermProof | undefined,
 	now: number,
 ): readonly TermProof[] {
-	const last = history.at(-1);
-	if (proof === undefined || (last !== undefined && proof.since < last.since + historyStep)) {
-		return history;
+	const last = proofs.at(-1);
+	if (proof === undefined || (last !== undefined && proof.since < last.since + minProofIntervalMs)) {
+		return proofs;
 	}
 
-	const oldest = now - historySpan;
-	const first = history.findIndex(kept => kept.since >= oldest);
-	return [...(first === -1 ? [] : history.slice(first)), proof];
+	const oldest = now - proofRetentionMs;
+	const first = proofs.findIndex(kept => kept.since >= oldest);
+	return [...(first === -1 ? [] : proofs.slice(first)), proof];
 }
 
-/** Finds the highest point of the term that a majority of instances holds. */
-function findAcknowledged(view: GroupView): LogPoint | undefined {
-	const points = listMembers(view)
+/** Finds the highest log point of the term that a majority of instances has applied. */
+function findAcknowledgedPoint(view: GroupView): LogPoint | undefined {
+	const points = listTermMembers(view)
 		.map(({report}) => report.at)
 		.filter(at => at.term === view.term)
 		.toSorted((a, b) => comparePoints(b, a));
--- a/packages/decisions/assign-watch.test.ts
+++ b/packages/decisions/assign-watch.test.ts
@@ -19,18 +19,18 @@
 		self, live, listed, present: undefined, now: 5,
 	});
 
-	it('gives each zone one watcher, ranked alike by all', () => {
+	it('assigns one watcher to each zone, in the same order on all hosts', () => {
 		const watches = hosts.map(({id}) => assign(id, hosts)).filter(watch => watch !== undefined);
 		expect(watches.map(({rank}) => rank).toSorted((a, b) => a - b)).to.deep.equal([0, 1, 2]);
 	});
 
-	it('asks another zone to agree also when all its hosts are silent', () => {
+	it('requires a confirmation by another zone even when all hosts of the other zones are silent', () => {
 		expect(assign('c1', [createHost('c1')])).to.deep.equal({
 			rank: 0, needsConfirmation: true, others: [], since: 5,
 		});
 	});
 
-	it('asks nobody when the platform lists hosts in one zone alone', () => {
+	it('requires no confirmation when the platform lists hosts in a single zone', () => {
 		expect(assign('c1', [createHost('c1')], [createHost('c1')])).to.have.property('needsConfirmation', false);
 	});
 });
--- a/packages/decisions/assign-watch.ts
+++ b/packages/decisions/assign-watch.ts
@@ -4,19 +4,20 @@
 import type {Host} from './host.ts';
 
 /**
- * Assigns this host's part in watching a group.
+ * Assigns this host's role as a watcher of a group, if it has one.
  *
- * One host a zone watches, in the zones that have an instance of the group.
+ * A group has one watcher in each zone that has an instance of the group: the live host that ranks first there.
  *
  * @param group The group.
- * @param options This host, the live and the listed hosts, the present part, and monotonic milliseconds.
+ * @param options This host, the live and the listed hosts, the present role, and monotonic milliseconds.
+ * @returns The role, or `undefined` if this host does not watch the group.
  */
 export function assignWatch(
 	group: Group,
 	options: {
 		readonly self: string;
 		readonly live: readonly Host[];
-		/** All hosts that the platform lists. */
+		/** All hosts that the platform lists, live or not. */
 		readonly listed: readonly Host[];
 		readonly present: GroupState['watch'];
 		readonly now: number;
--- a/packages/decisions/choose-instance.test.ts
+++ b/packages/decisions/choose-instance.test.ts
@@ -9,16 +9,16 @@
 
 const names = ['a', 'b', 'c'];
 
-type Heard = {readonly report: InstanceReport; readonly sentAt: number};
+type Answered = {readonly report: InstanceReport; readonly sentAt: number};
 
-function createView(heard: readonly Heard[], departing: readonly string[] = []): GroupView {
+function createView(answers: readonly Answered[], departing: readonly string[] = []): GroupView {
 	let view = createGroupView({
 		database: 'pondbook',
 		instances: names.map(id => ({
 			id, zone: id, address: '', isDeparting: departing.includes(id),
 		})),
 	});
-	for (const {report, sentAt} of heard) {
+	for (const {report, sentAt} of answers) {
 		view = applyReport(view, {report, sentAt, now: sentAt + 6});
 	}
 
@@ -32,7 +32,7 @@
 	instance, term: 1, role: 'replica', at: {term: 1, position},
 });
 
-const level = [
+const termOneAnswers = [
 	{report: primary(10n), sentAt: 1000},
 	{report: replica('b', 10n), sentAt: 1000},
 	{report: replica('c', 4n), sentAt: 1000},
@@ -45,27 +45,27 @@
 	const cases: ReadonlyArray<readonly [string, GroupView, {
 		readonly freshness: Freshness; readonly point?: LogPoint; readonly zone: string; readonly now: number;
 	}, string]> = [
-		['the primary for a latest read', createView(level), {freshness: latest, zone: 'b', now: 1010}, 'a'],
-		['the near replica that is level', createView(level), {freshness: within(100), zone: 'b', now: 1010}, 'b'],
-		['a far replica rather than the primary', createView(level), {freshness: within(100), zone: 'c', now: 1010}, 'b'],
-		['the primary when the proof is too old', createView(level), {freshness: within(100), zone: 'b', now: 1101}, 'a'],
-		['no replica that has been silent', createView(level), {freshness: within(10_000), zone: 'b', now: 2100}, 'a'],
-		['the primary for a session without a point', createView(level), {freshness: session, zone: 'b', now: 1010}, 'a'],
-		['a replica at the session\'s point', createView(level), {
+		['the primary for a latest read', createView(termOneAnswers), {freshness: latest, zone: 'b', now: 1010}, 'a'],
+		['the replica of the own zone that has caught up', createView(termOneAnswers), {freshness: within(100), zone: 'b', now: 1010}, 'b'],
+		['a replica of another zone rather than the primary', createView(termOneAnswers), {freshness: within(100), zone: 'c', now: 1010}, 'b'],
+		['the primary when the proof is too old', createView(termOneAnswers), {freshness: within(100), zone: 'b', now: 1101}, 'a'],
+		['no replica that has stopped answering probes', createView(termOneAnswers), {freshness: within(10_000), zone: 'b', now: 2100}, 'a'],
+		['the primary for a session without a point', createView(termOneAnswers), {freshness: session, zone: 'b', now: 1010}, 'a'],
+		['a replica at the session\'s point', createView(termOneAnswers), {
 			freshness: session, point: {term: 1, position: 10n}, zone: 'c', now: 1010,
 		}, 'b'],
-		['the near replica past the session\'s point', createView(level), {
+		['the replica of the own zone past the session\'s point', createView(termOneAnswers), {
 			freshness: session, point: {term: 1, position: 3n}, zone: 'c', now: 1010,
 		}, 'c'],
-		['the primary when no replica has reached the point', createView(level), {
+		['the primary when no replica has reached the point', createView(termOneAnswers), {
 			freshness: session, point: {term: 1, position: 11n}, zone: 'b', now: 1010,
 		}, 'a'],
-		['no replica of a later term\'s session', createView(level), {
+		['no replica for a session of a later term', createView(termOneAnswers), {
 			freshness: session, point: {term: 2, position: 2n}, zone: 'b', now: 1010,
 		}, 'a'],
-		['no replica that departs', createView(level, ['b']), {freshness: within(100), zone: 'b', now: 1010}, 'a'],
-		['no replica before any proof', createView(level.slice(1)), {freshness: within(10_000), zone: 'b', now: 1010}, 'none'],
-		['no replica of a term that has ended', createView([...level, {report: primary(11n, 2), sentAt: 1001}]), {
+		['no departing replica', createView(termOneAnswers, ['b']), {freshness: within(100), zone: 'b', now: 1010}, 'a'],
+		['no replica before any proof', createView(termOneAnswers.slice(1)), {freshness: within(10_000), zone: 'b', now: 1010}, 'none'],
+		['no replica of a term that has ended', createView([...termOneAnswers, {report: primary(11n, 2), sentAt: 1001}]), {
 			freshness: within(10_000), zone: 'b', now: 1010,
 		}, 'a'],
 	];
--- a/packages/decisions/choose-instance.ts
+++ b/packages/decisions/choose-instance.ts
@@ -6,17 +6,18 @@
 import type {LogPoint} from './log-point.ts';
 import type {ReadPlan} from './read-plan.ts';
 
-/** A replica that has not answered a probe for this long, in milliseconds, gets no reads. */
-const silenceLimit = 1000;
+/** Time without an answer to a probe after which a replica gets no reads. */
+const replicaSilenceLimitMs = 1000;
 
 /**
  * Chooses the instance for a read.
  *
- * Takes a replica that meets the freshness: one of the host's own zone first, then the one with the quickest
- * probe. Takes the primary when no replica does.
+ * Prefers the replicas that meet the freshness, those in the host's own zone first, then the one with the shortest
+ * round trip of its last probe. Falls back to the primary when no replica meets the freshness.
  *
  * @param view The group.
- * @param options The freshness, the session's point if it has one, the host's zone, and monotonic milliseconds.
+ * @param options The required freshness, the log point that the session has seen if any, the host's zone, and
+ * monotonic milliseconds.
  */
 export function chooseInstance(
 	view: GroupView,
@@ -31,9 +32,9 @@
 	const departing = new Set(view.group.instances.filter(({isDeparting}) => isDeparting).map(({id}) => id));
 	const replicas = [...view.instances.values()]
 		.filter(({report}) => report.role === 'replica' && report.term === view.term)
-		.filter(({report, answeredAt}) => !departing.has(report.instance) && options.now - answeredAt <= silenceLimit)
+		.filter(({report, answeredAt}) => !departing.has(report.instance) && options.now - answeredAt <= replicaSilenceLimitMs)
 		.filter(replica => meetsFreshness(view, replica, options))
-		.toSorted((a, b) => rankReplica(a, zones, options.zone) - rankReplica(b, zones, options.zone));
+		.toSorted((a, b) => scoreReplica(a, zones, options.zone) - scoreReplica(b, zones, options.zone));
 	const [replica] = replicas;
 	if (replica !== undefined) {
 		return {kind: 'replica', instance: replica.report.instance};
@@ -62,8 +63,8 @@
 	}
 }
 
-/** Ranks by round trip in milliseconds; another zone costs as much as a slow round trip. */
-function rankReplica(view: InstanceView, zones: ReadonlyMap<string, string>, zone: string): number {
-	const otherZoneCost = zones.get(view.report.instance) === zone ? 0 : 1000;
-	return otherZoneCost + view.answeredAt - view.sentAt;
+/** Returns the probe's round trip in milliseconds, plus the time of a slow round trip for another zone; lower is better. */
+function scoreReplica(view: InstanceView, zones: ReadonlyMap<string, string>, zone: string): number {
+	const zonePenaltyMs = zones.get(view.report.instance) === zone ? 0 : 1000;
+	return zonePenaltyMs + view.answeredAt - view.sentAt;
 }
--- a/packages/decisions/choose-roster.test.ts
+++ b/packages/decisions/choose-roster.test.ts
@@ -13,11 +13,11 @@
 	readonly title: string;
 	readonly listed: readonly string[];
 	readonly dead: readonly string[];
-	/** Milliseconds for which the dead have been so. */
+	/** Milliseconds since the dead hosts died. */
 	readonly deadFor?: number;
 	readonly acceptors: readonly string[];
-	/** Hosts that change the roster, each from its own view; and what they choose. */
-	readonly changers: readonly string[];
+	/** Hosts that change the roster, each from its own view, and the homes and acceptors that they choose. */
+	readonly proposers: readonly string[];
 	readonly homes?: readonly string[];
 	readonly newAcceptors?: readonly string[];
 };
@@ -26,14 +26,14 @@
 
 const cases: readonly Case[] = [
 	{
-		title: 'nothing changes while all hosts of the roster live', listed: all, dead: [], acceptors: ['a1', 'b1', 'c1'], changers: [],
+		title: 'nothing changes while all hosts of the roster are alive', listed: all, dead: [], acceptors: ['a1', 'b1', 'c1'], proposers: [],
 	},
 	{
-		title: 'a dead host leaves the homes, by the hand of one acceptor',
+		title: 'one acceptor removes a dead host from the homes',
 		listed: all,
 		dead: ['b2'],
 		acceptors: ['a1', 'b1', 'c1'],
-		changers: ['a1'],
+		proposers: ['a1'],
 		homes: ['a1', 'a2', 'b1', 'c1', 'c2'],
 		newAcceptors: ['a1', 'b1', 'c1'],
 	},
@@ -42,35 +42,35 @@
 		listed: all,
 		dead: ['b1'],
 		acceptors: ['a1', 'b1', 'c1'],
-		changers: ['a1'],
+		proposers: ['a1'],
 		homes: ['a1', 'a2', 'b2', 'c1', 'c2'],
 		newAcceptors: ['a1', 'b2', 'c1'],
 	},
 	{
-		title: 'a change has to stand for a while', listed: all, dead: ['b2'], deadFor: 100, acceptors: ['a1', 'b1', 'c1'], changers: [],
+		title: 'a change of liveness must be stable for a while', listed: all, dead: ['b2'], deadFor: 100, acceptors: ['a1', 'b1', 'c1'], proposers: [],
 	},
 	{
-		title: 'a host that misses half of the others changes nothing', listed: all, dead: ['a1', 'a2', 'b2'], acceptors: ['a1', 'b1', 'c1'], changers: [],
+		title: 'a host that sees no more than half of the hosts alive changes nothing', listed: all, dead: ['a1', 'a2', 'b2'], acceptors: ['a1', 'b1', 'c1'], proposers: [],
 	},
 	{
-		title: 'acceptors that are silent but listed may still accept changes, so nobody takes their part',
+		title: 'acceptors that are silent but listed may still accept changes, so no host takes their role',
 		listed: all,
 		dead: ['a1', 'b1'],
 		acceptors: ['a1', 'b1'],
-		changers: [],
+		proposers: [],
 	},
 	{
-		title: 'acceptors that the platform lists no more have been replaced, and a live host takes their part',
+		title: 'a live host takes the role of acceptors that the platform no longer lists',
 		listed: ['a2', 'b2', 'c1', 'c2'],
 		dead: [],
 		acceptors: ['a1', 'b1'],
-		changers: ['a2'],
+		proposers: ['a2'],
 		homes: ['a2', 'b2', 'c1', 'c2'],
 		newAcceptors: ['a2', 'b2', 'c2'],
 	},
 ];
 
-/** Creates what a host knows, with the roster of a fleet whose hosts all lived. */
+/** Creates the state of a host, with the roster of a fleet whose hosts were all alive. */
 function createView(self: string, {
 	listed, dead, deadFor = 5000, acceptors,
 }: Case): HostState {
@@ -99,7 +99,7 @@
 				.filter(id => !testCase.dead.includes(id))
 				.map(self => ({self, roster: chooseRoster(createView(self, testCase), now)}))
 				.filter(({roster}) => roster !== undefined);
-			expect(chosen.map(({self}) => self)).to.deep.equal(testCase.changers);
+			expect(chosen.map(({self}) => self)).to.deep.equal(testCase.proposers);
 			for (const {roster} of chosen) {
 				expect(roster?.homes).to.deep.equal(testCase.homes);
 				expect(roster?.acceptors).to.deep.equal(testCase.newAcceptors);
--- a/packages/decisions/compare-points.ts
+++ b/packages/decisions/compare-points.ts
@@ -1,9 +1,9 @@
 import type {LogPoint} from './log-point.ts';
 
 /**
- * Orders log ends by term, then by position, as a promotion must.
+ * Compares log points by term, then by position, the order in which a promotion chooses the longest log.
  *
- * @returns A negative number when `a` is behind `b`, 0 when equal, a positive number otherwise.
+ * @returns A negative number if `a` is behind `b`, 0 if they are equal, a positive number otherwise.
  */
 export function comparePoints(a: LogPoint, b: LogPoint): number {
 	if (a.term !== b.term) {
--- a/packages/decisions/create-group-view.ts
+++ b/packages/decisions/create-group-view.ts
@@ -1,7 +1,7 @@
 import type {Group} from './group.ts';
 import type {GroupView} from './group-view.ts';
 
-/** Creates the view of a group of which nothing is known yet. */
+/** Creates the view of a group whose instances have not answered yet. */
 export function createGroupView(group: Group): GroupView {
 	return {
 		group,
--- a/packages/decisions/create-host-state.ts
+++ b/packages/decisions/create-host-state.ts
@@ -6,7 +6,7 @@
  * Creates the state of a host that has just started and knows only itself.
  *
  * @param host This host.
- * @param incarnation A number that is higher than at any earlier start of the host, such as the wall clock.
+ * @param incarnation A number higher than at any earlier start of the host, such as the wall-clock time.
  */
 export function createHostState(host: Host, incarnation: number): HostState {
 	return {
--- a/packages/decisions/failover-effect.ts
+++ b/packages/decisions/failover-effect.ts
@@ -1,4 +1,4 @@
-/** What a watcher does next. */
+/** An action that the failover of a group orders. `publishStep` goes to metrics, events and the log. */
 export type FailoverEffect =
 	| {readonly kind: 'askConfirmation'; readonly term: number}
 	| {readonly kind: 'fence'; readonly instance: string; readonly term: number}
--- a/packages/decisions/failover-event.ts
+++ b/packages/decisions/failover-event.ts
@@ -1,6 +1,6 @@
 import type {InstanceReport} from './instance-report.ts';
 
-/** What moves a watcher's failover on. */
+/** An input of the failover of a group. */
 export type FailoverEvent =
 	| {readonly kind: 'tick'}
 	| {readonly kind: 'confirmed'; readonly zone: string}
--- a/packages/decisions/failover-settings.ts
+++ b/packages/decisions/failover-settings.ts
@@ -1,9 +1,9 @@
 /** Times of failure detection and failover, in milliseconds. */
 export type FailoverSettings = {
-	/** Silence of the primary after which it is suspected. */
+	/** Time without an answer of the primary after which it is suspected to have failed. */
 	readonly suspectAfter: number;
-	/** Time for one attempt at agreement, fencing or promotion. */
+	/** Timeout of one attempt at confirmation, fencing or promotion. */
 	readonly stepTimeout: number;
-	/** Delay before a watcher acts, for each watcher ranked before it. */
+	/** Delay before a watcher acts, for each watcher that ranks before it; keeps watchers from fencing at the same time. */
 	readonly stagger: number;
 };
--- a/packages/decisions/failover-state.ts
+++ b/packages/decisions/failover-state.ts
@@ -1,6 +1,6 @@
 import type {InstanceReport} from './instance-report.ts';
 
-/** How far a watcher is with replacing a group's primary. Times are monotonic milliseconds. */
+/** Progress of a watcher in replacing a group's primary. Times are monotonic milliseconds. */
 export type FailoverState =
 	| {readonly kind: 'watching'}
 	| {
--- a/packages/decisions/find-confirmed-at.ts
+++ b/packages/decisions/find-confirmed-at.ts
@@ -1,16 +1,16 @@
 import type {HostState} from './host-state.ts';
 
 /**
- * Finds when the known configuration and roster were last proven to be the newest.
+ * Finds the moment as of which the known configuration and roster are confirmed to be the newest.
  *
- * They are proven by a read of the table, or by the word of all acceptors: a newer one could only have come
- * through one of them.
+ * A read of the platform's table confirms them, and so do all acceptors together, because every newer version is
+ * committed through one of the acceptors.
  *
- * @returns Monotonic milliseconds; -Infinity without proof.
+ * @returns Monotonic milliseconds; -Infinity if nothing has confirmed them.
  */
 export function findConfirmedAt(state: HostState): number {
 	const {acceptors} = state.roster;
-	const words = acceptors.map(id => state.confirmations.get(id) ?? -Infinity);
-	const byWord = words.length === 0 ? -Infinity : Math.min(...words);
-	return Math.max(state.tableConfirmedAt, byWord);
+	const confirmations = acceptors.map(id => state.confirmations.get(id) ?? -Infinity);
+	const byAcceptors = confirmations.length === 0 ? -Infinity : Math.min(...confirmations);
+	return Math.max(state.tableConfirmedAt, byAcceptors);
 }
--- a/packages/decisions/find-staleness.ts
+++ b/packages/decisions/find-staleness.ts
@@ -3,14 +3,14 @@
 import type {LogPoint} from './log-point.ts';
 
 /**
- * Finds how old data that ends at a log point can be at most.
+ * Finds the maximum staleness of a log that ends at a log point.
  *
- * The age counts from the newest proof whose primary position the point covers, that is from before the probe
- * that showed the position.
+ * The staleness counts from the newest proof whose point of the primary the log includes, that is from the moment
+ * before the probes of that proof were sent.
  *
  * @param view The group.
- * @param options The point and the present monotonic milliseconds.
- * @returns Milliseconds, or `Infinity` when nothing is proven.
+ * @param options The log point and the present time in monotonic milliseconds.
+ * @returns Milliseconds, or `Infinity` if no proof covers the log point.
  */
 export function findStaleness(
 	view: GroupView,
--- a/packages/decisions/group-view.ts
+++ b/packages/decisions/group-view.ts
@@ -2,7 +2,7 @@
 import type {InstanceView} from './instance-view.ts';
 import type {TermProof} from './term-proof.ts';
 
-/** What a host knows of a database group. */
+/** A database group as one host sees it. */
 export type GroupView = {
 	readonly group: Group;
 	/** Highest term in which a primary is known. */
@@ -10,12 +10,12 @@
 	/** Primary of that term; undefined while none is known. */
 	readonly primary: string | undefined;
 	readonly instances: ReadonlyMap<string, InstanceView>;
-	/** The newest proof that a majority holds the term; undefined before the first. */
+	/** The newest proof that a majority is in the term; undefined before the first. */
 	readonly proof: TermProof | undefined;
-	/** Recent proofs, oldest first, from which the age of replicas follows. */
+	/** Recent proofs, oldest first; the staleness of replicas is computed from them. */
 	readonly recentProofs: readonly TermProof[];
-	/** Highest point that a majority was seen to hold in the term. */
-	readonly acknowledged: LogPointOrNone;
+	/** Highest log point of the term that a majority has reported as applied. */
+	readonly acknowledged: OptionalLogPoint;
 };
 
-type LogPointOrNone = TermProof['point'] | undefined;
+type OptionalLogPoint = TermProof['point'] | undefined;
--- a/packages/decisions/host-effect.ts
+++ b/packages/decisions/host-effect.ts
@@ -1,7 +1,7 @@
 import type {Roster} from './roster.ts';
 import type {FailoverEffect} from './failover-effect.ts';
 
-/** What a host's control loop does next. */
+/** An action that a host's control loop orders. The `publish` effects go to events, metrics and the log. */
 export type HostEffect =
 	| {readonly kind: 'exchange'; readonly partner: string}
 	| {readonly kind: 'readVersion'}
--- a/packages/decisions/host-event.ts
+++ b/packages/decisions/host-event.ts
@@ -7,12 +7,12 @@
 import type {InstanceReport} from './instance-report.ts';
 import type {MemberUpdate} from './member-update.ts';
 
-/** What moves a host's control loop on. Times are monotonic milliseconds. */
+/** An input of a host's control loop. Times are monotonic milliseconds. */
 export type HostEvent =
 	| {readonly kind: 'tick'}
 	| {readonly kind: 'fleetRead'; readonly hosts: readonly Host[]; readonly groups: readonly Group[]}
 	| {
-		/** The newest configuration, read from the table no earlier than `provenAt`. */
+		/** The newest configuration, read from the platform's table no earlier than `confirmedAt`. */
 		readonly kind: 'configurationRead';
 		readonly fleet: FleetConfiguration;
 		readonly confirmedAt: number;
@@ -28,7 +28,7 @@
 		/** Present when the other host knows a newer head. */
 		readonly fleet: FleetConfiguration | undefined;
 		readonly confirmations: readonly AcceptorConfirmation[];
-		/** When the other host's version was the newest at the earliest; -Infinity in a push. */
+		/** Moment as of which a table read confirmed the other host's version; -Infinity if the other host started the exchange. */
 		readonly confirmedAt: number;
 		readonly primaries: readonly GroupPrimary[];
 		readonly memberUpdates: readonly MemberUpdate[];
--- a/packages/decisions/host-settings.ts
+++ b/packages/decisions/host-settings.ts
@@ -1,18 +1,18 @@
 import type {FailoverSettings} from './failover-settings.ts';
 
-/** Times of a host's control loop, in milliseconds. */
+/** Intervals and limits of a host's control loop, in milliseconds. */
 export type HostSettings = {
 	readonly failover: FailoverSettings;
-	/** Between two probes of a group that is watched or in use. */
+	/** Interval between two probes of a group that this host watches or uses. */
 	readonly probeInterval: number;
-	/** Time after its last request for which a group counts as in use. */
+	/** Time for which a group counts as in use after its last request. */
 	readonly demandSpan: number;
-	/** Between two exchanges with other hosts. */
+	/** Interval between two exchanges with other hosts. */
 	readonly exchangeInterval: number;
-	/** Between two reads of the configuration's version by a reader of the zone. */
+	/** Interval between two reads of the configuration's version by one of the zone's readers. */
 	readonly versionInterval: number;
-	/** Age of the configuration's proof at which a host that is no reader reads the version itself. */
+	/** Age of the last confirmed table read at which a host that is not a reader reads the version itself. */
 	readonly versionFallback: number;
-	/** Between two reads of the platform's list. */
+	/** Interval between two reads of the platform's list of hosts and databases. */
 	readonly fleetInterval: number;
 };
--- a/packages/decisions/host-state.ts
+++ b/packages/decisions/host-state.ts
@@ -10,19 +10,23 @@
 	readonly groups: ReadonlyMap<string, GroupState>;
 	readonly configuration: Configuration;
 	readonly roster: Roster;
-	/** When the present list of homes in the roster became known here. */
+	/** When this host learned of the roster's present list of homes. */
 	readonly homesKnownAt: number;
-	/** Lists of the roster's hosts and when each became known here, oldest first. */
+	/** The roster's lists of hosts and when this host learned of each, oldest first. */
 	readonly rosterHistory: ReadonlyArray<{readonly hosts: readonly string[]; readonly at: number}>;
-	/** When a read of the table, here or at another host, last proved configuration and roster to be the newest. */
+	/** Moment as of which a table read, by this or another host, confirmed configuration and roster to be the newest. */
 	readonly tableConfirmedAt: number;
-	/** When each acceptor last gave its word that it had committed nothing newer. */
+	/** When each acceptor last confirmed that it had committed nothing newer. */
 	readonly confirmations: ReadonlyMap<string, number>;
-	/** From when this host, as an acceptor, gives its word; an earlier process of its name has no write under way then. */
+	/**
+	 * Time from which this host, as an acceptor, gives confirmations.
+	 *
+	 * By then no write of an earlier process with this host's identifier can still take effect.
+	 */
 	readonly confirmsFrom: number;
-	/** Whether a commit of this host is unsettled. */
+	/** Whether the outcome of a commit of this host is still open. */
 	readonly hasPendingCommit: boolean;
-	/** Configuration versions of the other hosts, as last heard. */
+	/** Configuration versions of the other hosts, as of their last exchange. */
 	readonly peerVersions: ReadonlyMap<string, number>;
 	readonly isDraining: boolean;
 	readonly exchangeRound: number;
--- a/packages/decisions/host-step.ts
+++ b/packages/decisions/host-step.ts
@@ -1,5 +1,5 @@
 import type {HostEffect} from './host-effect.ts';
 import type {HostState} from './host-state.ts';
 
-/** The state of a host after an event, and what to do. */
+/** The state of a host after an event, and the actions that follow. */
 export type HostStep = {readonly state: HostState; readonly effects: readonly HostEffect[]};
--- a/packages/decisions/instance-role.ts
+++ b/packages/decisions/instance-role.ts
@@ -1,2 +1,2 @@
-/** What an instance does in its term. A fenced instance has granted a term and serves neither writes nor reads. */
+/** Role of an instance in its term. A fenced instance has granted a term and serves neither reads nor writes. */
 export type InstanceRole = 'primary' | 'replica' | 'fenced';
--- a/packages/decisions/is-covered.ts
+++ b/packages/decisions/is-covered.ts
@@ -1,13 +1,13 @@
 import type {LogPoint} from './log-point.ts';
 
 /**
- * Tells whether a log that ends at `end` holds the acknowledged entry `point`.
+ * Tells whether a log that ends at `end` contains the acknowledged entry at `point`.
  *
- * An acknowledged entry is in the log of every later primary, and a log equals that of the primary which
- * wrote its last entry. So a last entry of the same or a later term at the same or a later position suffices.
+ * Every later primary has an acknowledged entry in its log, and a log equals that of the primary that wrote its
+ * last entry. It therefore suffices that neither term nor position of the last entry is lower than that of `point`.
  *
- * @param point An acknowledged entry.
- * @param end Last entry of the log in question.
+ * @param point Log point of an acknowledged entry.
+ * @param end Log point of the log's last entry.
  * @example
  * isCovered({term: 2, position: 7n}, {term: 3, position: 7n}); // true
  */
--- a/packages/decisions/is-roster-confirmed.ts
+++ b/packages/decisions/is-roster-confirmed.ts
@@ -2,10 +2,10 @@
 import type {HostState} from './host-state.ts';
 
 /**
- * Tells whether the roster was proven to be the newest within a time, so that this host may lend and use units.
+ * Tells whether the roster was recently confirmed to be the newest, so that this host may lend and use units.
  *
  * @param state The state of the host.
- * @param options Greatest age of the proof in milliseconds, and monotonic milliseconds.
+ * @param options Maximum age of the confirmation in milliseconds, and monotonic milliseconds.
  */
 export function isRosterConfirmed(
 	state: HostState,
--- a/packages/decisions/is-suspected.ts
+++ b/packages/decisions/is-suspected.ts
@@ -3,15 +3,16 @@
 import type {GroupView} from './group-view.ts';
 
 /**
- * Tells whether a group seems to have no working primary.
+ * Tells whether the primary of a group is suspected to have failed.
  *
- * True when the primary has been silent for longer than the limit, when none is known, and when an instance
- * has granted a higher term than the primary's and no primary of that term has appeared for twice as long.
+ * True if the primary has not answered for longer than `suspectAfter`, if no primary is known, or if an instance has
+ * granted a higher term than the primary's and no primary of that term has appeared for twice as long.
  *
- * A primary that departs is replaced like a silent one, once a replica that stays has all of its log.
+ * A departing primary also counts as suspected once a replica that does not depart has its whole log, so that
+ * it is replaced like a silent one.
  *
  * @param view The group as this host sees it.
- * @param options When this host began to watch, the failover times, and monotonic milliseconds.
+ * @param options When this host began to watch, the failover settings, and monotonic milliseconds.
  */
 export function isSuspected(
 	view: GroupView,
@@ -24,17 +25,17 @@
 	}
 
 	const primary = view.primary === undefined ? undefined : view.instances.get(view.primary);
-	const lastHeard = primary?.report.term === view.term ? primary.answeredAt : watchedSince;
-	return now - lastHeard > limit || isOvertaken(view, now - (2 * limit)) || isHandoverDue(view);
+	const lastAnswerAt = primary?.report.term === view.term ? primary.answeredAt : watchedSince;
+	return now - lastAnswerAt > limit || hasHigherTermSince(view, now - (2 * limit)) || isHandoverDue(view);
 }
 
-/** Tells whether an instance has been in a higher term than the group's since before the given time. */
-function isOvertaken(view: GroupView, before: number): boolean {
+/** Tells whether an instance entered a term higher than the group's before the given time. */
+function hasHigherTermSince(view: GroupView, before: number): boolean {
 	return [...view.instances.values()]
 		.some(({report, changedAt}) => report.term > view.term && changedAt < before);
 }
 
-/** Tells whether the primary departs and a replica that stays is level with it. */
+/** Tells whether the primary departs and a replica that does not depart has its whole log. */
 function isHandoverDue(view: GroupView): boolean {
 	const departing = new Set(view.group.instances.filter(({isDeparting}) => isDeparting).map(({id}) => id));
 	const primary = view.primary === undefined ? undefined : view.instances.get(view.primary);
--- a/packages/decisions/list-confirmations.ts
+++ b/packages/decisions/list-confirmations.ts
@@ -2,21 +2,21 @@
 import type {HostState} from './host-state.ts';
 
 /**
- * Lists what this host knows of the acceptors' word that nothing newer has been committed.
+ * Lists the acceptors' confirmations, known to this host, that nothing newer has been committed.
  *
- * An acceptor gives its own word as of now, unless a commit of its own is unsettled or it has not reached the
- * table for longer than the span.
+ * If this host is an acceptor, it adds its own confirmation as of now. It withholds that while the outcome of a commit
+ * of its own is open, until `confirmsFrom`, and when the last confirmed table read is older than `maxTableAgeMs`.
  *
  * @param state The host's state.
- * @param options Milliseconds without the table after which an acceptor's word ends, and monotonic milliseconds.
+ * @param options Maximum age of the last confirmed table read in milliseconds, and monotonic milliseconds.
  */
 export function listConfirmations(
 	state: HostState,
 	options: {readonly maxTableAgeMs: number; readonly now: number},
 ): readonly AcceptorConfirmation[] {
 	const {self} = state.membership;
-	const isSpeaking = !state.hasPendingCommit && options.now >= state.confirmsFrom && options.now - state.tableConfirmedAt <= options.maxTableAgeMs;
+	const canConfirm = !state.hasPendingCommit && options.now >= state.confirmsFrom && options.now - state.tableConfirmedAt <= options.maxTableAgeMs;
 	return state.roster.acceptors
-		.map(id => ({id, confirmedAt: id === self ? (isSpeaking ? options.now : -Infinity) : state.confirmations.get(id) ?? -Infinity}))
+		.map(id => ({id, confirmedAt: id === self ? (canConfirm ? options.now : -Infinity) : state.confirmations.get(id) ?? -Infinity}))
 		.filter(({confirmedAt}) => confirmedAt !== -Infinity);
 }
--- a/packages/decisions/log-point.ts
+++ b/packages/decisions/log-point.ts
@@ -1,4 +1,4 @@
-/** A place in a group's log: the term of an entry and its position. */
+/** Identifies an entry of a group's log by term and position. */
 export type LogPoint = {
 	readonly term: number;
 	readonly position: bigint;
--- a/packages/decisions/member-update.ts
+++ b/packages/decisions/member-update.ts
@@ -1,4 +1,4 @@
-/** What one host tells another of a third. */
+/** The liveness of a host, as one host reports it to another. */
 export type MemberUpdate = {
 	readonly id: string;
 	readonly incarnation: number;
--- a/packages/decisions/membership.ts
+++ b/packages/decisions/membership.ts
@@ -1,7 +1,7 @@
 import type {Host} from './host.ts';
 import type {Member} from './member.ts';
 
-/** The platform's list joined with what hosts tell each other. */
+/** The hosts that the platform lists, and their liveness by exchanges and member updates. */
 export type Membership = {
 	readonly self: string;
 	readonly incarnation: number;
--- a/packages/decisions/rank-hosts.ts
+++ b/packages/decisions/rank-hosts.ts
@@ -3,11 +3,11 @@
 /**
  * Ranks candidates for a resource by rendezvous hashing (highest random weight, Thaler and Ravishankar 1998).
  *
- * Every host that knows the same candidates finds the same order, and a candidate that leaves changes the
- * order of no others.
+ * Hosts that know the same candidates find the same order, and a candidate that leaves does not change the order
+ * of the others.
  *
- * @param resource What the candidates compete for.
- * @param candidates Identifiers.
+ * @param resource Name of what the candidates are ranked for; every host must use the same name.
+ * @param candidates Identifiers of the candidates.
  * @example
  * rankHosts('watch/pondbook', ['a1', 'b1', 'c1']);
  */
@@ -19,19 +19,19 @@
 		.map(({candidate}) => candidate);
 }
 
-/** Digests that are remembered at most; more than a fleet has hosts and databases. */
-const digestsKept = 50_000;
+/** Maximum number of cached digests; more than a fleet has hosts and databases. */
+const maxCachedDigests = 50_000;
 
 const digests = new Map<string, number>();
 
-/** Hashes a text to 32 bits, and remembers the result. */
+/** Hashes a text to 32 bits, and caches the digest. */
 function hashText(text: string): number {
 	const known = digests.get(text);
 	if (known !== undefined) {
 		return known;
 	}
 
-	if (digests.size >= digestsKept) {
+	if (digests.size >= maxCachedDigests) {
 		digests.clear();
 	}
 
@@ -42,7 +42,7 @@
 
 /* eslint-disable no-bitwise -- a hash works on bits */
 
-/** Mixes two digests into a weight with the finalizer of MurmurHash3 (Appleby 2011). */
+/** Combines two digests into a weight with the finalizer of MurmurHash3 (Appleby 2011). */
 function mixBits(seed: number, digest: number): number {
 	let bits = seed ^ digest;
 	bits = Math.imul(bits ^ (bits >>> 16), 0x85_EB_CA_6B);
--- a/packages/decisions/read-plan.ts
+++ b/packages/decisions/read-plan.ts
@@ -1,8 +1,8 @@
 /**
- * Where a read goes first.
+ * The instance that a read is sent to first.
  *
- * `replica`: to an instance whose answer must cover the demand. `primary`: to the primary.
- * `none`: no instance that could serve it is known.
+ * `replica`: a replica, whose answer must still be checked against the required freshness. `primary`: the primary.
+ * `none`: no instance that could serve the read is known.
  */
 export type ReadPlan =
 	| {readonly kind: 'replica'; readonly instance: string}
--- a/packages/decisions/step-failover.test.ts
+++ b/packages/decisions/step-failover.test.ts
@@ -22,16 +22,16 @@
 };
 const runs = 300;
 
-/** A model of an instance: it grants a term to one owner, and only its primary takes writes. */
-type Model = {
+/** A model of an instance, which grants a term to one owner only and takes writes only as primary. */
+type InstanceModel = {
 	term: number;
 	owner: string;
 	role: InstanceReport['role'];
 	log: Array<{readonly term: number; readonly write: string}>;
 };
 
-/** What happens next in a random schedule. */
-type Happening =
+/** The next action of a random schedule. */
+type ScheduledAction =
 	| {readonly kind: 'wait'; readonly milliseconds: number}
 	| {readonly kind: 'tick'; readonly watcher: number}
 	| {readonly kind: 'probe'; readonly watcher: number; readonly instance: number}
@@ -42,7 +42,7 @@
 
 const watcher = fc.integer({min: 0, max: 1});
 const instance = fc.integer({min: 0, max: 2});
-const happening: fc.Arbitrary<Happening> = fc.oneof(
+const scheduledAction: fc.Arbitrary<ScheduledAction> = fc.oneof(
 	{weight: 2, arbitrary: fc.record({kind: fc.constant('wait' as const), milliseconds: fc.integer({min: 10, max: 400})})},
 	{weight: 5, arbitrary: fc.record({kind: fc.constant('tick' as const), watcher})},
 	{weight: 6, arbitrary: fc.record({kind: fc.constant('probe' as const), watcher, instance})},
@@ -52,13 +52,13 @@
 	{weight: 5, arbitrary: fc.record({kind: fc.constant('replicate' as const), instance})},
 );
 
-function readEnd(model: Model): LogPoint {
+function readEnd(model: InstanceModel): LogPoint {
 	return {term: model.log.at(-1)?.term ?? 0, position: BigInt(model.log.length)};
 }
 
-/** Plays a schedule with two watchers and three instances; returns acknowledged writes and the models. */
-function play(schedule: readonly Happening[]) {
-	const models = new Map<string, Model>(names.map((name, index) => [name, {
+/** Runs a schedule with two watchers and three instances; returns the acknowledged writes and the models. */
+function runSchedule(schedule: readonly ScheduledAction[]) {
+	const models = new Map<string, InstanceModel>(names.map((name, index) => [name, {
 		term: 1, owner: 'first', role: index === 0 ? 'primary' : 'replica', log: [{term: 1, write: 'start'}],
 	}]));
 	const views: GroupView[] = [createGroupView(group), createGroupView(group)];
@@ -69,7 +69,7 @@
 	let now = 0;
 	let writes = 0;
 
-	const find = (name: string): Model => models.get(name) ?? {
+	const find = (name: string): InstanceModel => models.get(name) ?? {
 		term: 0, owner: '', role: 'fenced', log: [],
 	};
 
@@ -116,12 +116,12 @@
 		states[index] = next.state;
 		for (const effect of next.effects) {
 			messages.push(() => {
-				carryOut(index, effect);
+				runEffect(index, effect);
 			});
 		}
 	};
 
-	const carryOut = (index: number, effect: FailoverEffect) => {
+	const runEffect = (index: number, effect: FailoverEffect) => {
 		const owner = `watcher ${index}`;
 		switch (effect.kind) {
 			case 'fence': {
@@ -233,11 +233,11 @@
 }
 
 describe('stepFailover', () => {
-	it('lets at most one instance be the primary of a term, and keeps every acknowledged write, once and in order', () => {
+	it('has at most one primary in a term, and keeps every acknowledged write exactly once', () => {
 		let replaced = 0;
 		let kept = 0;
-		fc.assert(fc.property(fc.array(happening, {minLength: 100, maxLength: 600}), schedule => {
-			const {models, acknowledged} = play(schedule);
+		fc.assert(fc.property(fc.array(scheduledAction, {minLength: 100, maxLength: 600}), schedule => {
+			const {models, acknowledged} = runSchedule(schedule);
 			const primaries = [...models.values()].filter(({role}) => role === 'primary').map(({term}) => term);
 			expect(new Set(primaries).size).to.equal(primaries.length);
 			const newest = [...models.values()].toSorted((a, b) => b.term - a.term || comparePoints(readEnd(b), readEnd(a)))
@@ -253,6 +253,6 @@
 			kept += newest.term > 1 ? writes.length : 0;
 		}), {numRuns: runs});
 		expect(replaced, 'schedules that replaced a primary').to.be.above(0);
-		expect(kept, 'acknowledged writes that a replacement had to keep').to.be.above(0);
+		expect(kept, 'acknowledged writes that a failover had to keep').to.be.above(0);
 	});
 });
--- a/packages/decisions/step-failover.ts
+++ b/packages/decisions/step-failover.ts
@@ -14,29 +14,31 @@
 	readonly event: FailoverEvent;
 	readonly view: GroupView;
 	readonly settings: FailoverSettings;
-	/** When this host began to watch the group. */
+	/** Monotonic milliseconds when this host began to watch the group. */
 	readonly watchedSince: number;
 	/** Number of watchers of the group that act before this one. */
 	readonly rank: number;
-	/** Whether a second zone must agree; false only when the fleet has hosts in one zone alone. */
+	/** Whether another zone must confirm the suspicion; false only when the platform lists hosts in a single zone. */
 	readonly needsConfirmation: boolean;
+	/** Monotonic milliseconds. */
 	readonly now: number;
 };
 
-/** Milliseconds after an instance's answer within which it is told to follow; one or two steps of the loop. */
-const followWindow = 30;
+/** Time after an instance's answer within which it is ordered to follow; one or two steps of the control loop. */
+const followWindowMs = 30;
 
 const watching: FailoverState = {kind: 'watching'};
 
 /**
- * Moves a watcher's failover of one group by one event.
+ * Advances a watcher's failover of one group by one event.
  *
- * The order is: suspect by silence, agree with another zone, fence a majority in a new term, promote the
- * instance of that majority with the highest log end. No clock or lease is part of the argument that an
- * acknowledged write survives: two fenced majorities intersect, and an instance grants a term to one owner.
+ * A failover has four steps: suspect a silent primary, get the confirmation of another zone, fence a majority of the
+ * instances in a new term, and promote the instance of that majority with the longest log. Acknowledged writes
+ * survive without reliance on clocks or leases: any two majorities intersect, and an instance grants a term to one
+ * owner only.
  *
- * @param state How far the failover is.
- * @param input What happened, the group, the failover times, this watcher's rank, and monotonic milliseconds.
+ * @param state The progress of the failover.
+ * @param input The event, the group, the failover settings, this watcher's rank, and monotonic milliseconds.
  */
 export function stepFailover(
 	state: FailoverState,
@@ -48,7 +50,7 @@
 		}
 
 		case 'confirming': {
-			return stepAgreeing(state, input);
+			return stepConfirming(state, input);
 		}
 
 		case 'fencing': {
@@ -73,18 +75,18 @@
 		};
 	}
 
-	return {state: watching, effects: listFollows(input)};
+	return {state: watching, effects: listFollowCommands(input)};
 }
 
-/** Orders instances that have just answered, and are behind the group's term or fenced in it, to follow the primary. */
-function listFollows({view, now}: Input): readonly FailoverEffect[] {
+/** Lists follow commands for instances that have just answered and are in an older term, or in this one but no replica. */
+function listFollowCommands({view, now}: Input): readonly FailoverEffect[] {
 	const {primary, term} = view;
 	if (primary === undefined) {
 		return [];
 	}
 
 	return [...view.instances.values()]
-		.filter(({answeredAt}) => now - answeredAt <= followWindow)
+		.filter(({answeredAt}) => now - answeredAt <= followWindowMs)
 		.map(({report}) => report)
 		.filter(report => report.instance !== primary)
 		.filter(report => report.term < term || (report.term === term && report.role !== 'replica'))
@@ -93,7 +95,7 @@
 		}));
 }
 
-function stepAgreeing(
+function stepConfirming(
 	state: Extract<FailoverState, {readonly kind: 'confirming'}>,
 	input: Input,
 ): Step {
@@ -120,8 +122,8 @@
 
 function startFencing(input: Input): Step {
 	const {view, now} = input;
-	const seen = [...view.instances.values()].map(({report}) => report.term);
-	const term = Math.max(view.term, ...seen) + 1;
+	const knownTerms = [...view.instances.values()].map(({report}) => report.term);
+	const term = Math.max(view.term, ...knownTerms) + 1;
 	return {
 		state: {
 			kind: 'fencing', since: now, term, granted: new Map(),
@@ -140,19 +142,19 @@
 
 	const {event} = input;
 	if (event.kind === 'fenceAnswered' && event.term === state.term) {
-		return countGrant(state, {answer: event, input});
+		return recordGrant(state, {answer: event, input});
 	}
 
-	return abandonLate(state, input);
+	return abandonOnTimeout(state, input);
 }
 
-function countGrant(
+function recordGrant(
 	state: Extract<FailoverState, {readonly kind: 'fencing'}>,
 	options: {readonly answer: Extract<FailoverEvent, {readonly kind: 'fenceAnswered'}>; readonly input: Input},
 ): Step {
 	const {answer, input} = options;
 	if (!answer.isGranted) {
-		return createRest(input);
+		return startBackoff(input);
 	}
 
 	const granted = new Map(state.granted).set(answer.report.instance, answer.report);
@@ -169,7 +171,7 @@
 	};
 }
 
-/** Chooses the highest log end; among equals one that stays and is not the silent primary. */
+/** Chooses the instance with the longest log; among equals one that does not depart and is not the suspected primary. */
 function chooseSuccessor(reports: readonly InstanceReport[], view: GroupView): string {
 	const best = reports.toSorted((a, b) => {
 		const order = comparePoints(b.at, a.at);
@@ -178,7 +180,7 @@
 	return best[0]?.instance ?? '';
 }
 
-/** Ranks an instance among those with the same log end; lower goes first. */
+/** Returns the rank of an instance among those with the same last log entry; the lowest is chosen. */
 function rankSuccessor(instance: string, view: GroupView): number {
 	const isDeparting = view.group.instances.some(listed => listed.id === instance && listed.isDeparting);
 	return (isDeparting ? 2 : 0) + (instance === view.primary ? 1 : 0);
@@ -191,18 +193,18 @@
 	const {event} = input;
 	if (event.kind === 'promoteAnswered' && event.term === state.term) {
 		return event.isGranted
-			? {state: watching, effects: [{kind: 'publishStep', step: 'promoted'}, ...listOthers(state, input.view)]}
-			: createRest(input);
+			? {state: watching, effects: [{kind: 'publishStep', step: 'promoted'}, ...listFollowCommandsForOthers(state, input.view)]}
+			: startBackoff(input);
 	}
 
 	if (input.view.term >= state.term) {
-		return {state: watching, effects: listFollows(input)};
+		return {state: watching, effects: listFollowCommands(input)};
 	}
 
-	return abandonLate(state, input);
+	return abandonOnTimeout(state, input);
 }
 
-function listOthers(
+function listFollowCommandsForOthers(
 	state: Extract<FailoverState, {readonly kind: 'promoting'}>,
 	view: GroupView,
 ): readonly FailoverEffect[] {
@@ -213,15 +215,16 @@
 		}));
 }
 
-/** Gives up an attempt that has taken too long; the next one takes a higher term. */
-function abandonLate(
+/** Abandons an attempt that exceeds the step timeout; the next attempt uses a higher term. */
+function abandonOnTimeout(
 	state: Extract<FailoverState, {readonly kind: 'fencing' | 'promoting'}>,
 	input: Input,
 ): Step {
-	return input.now - state.since > input.settings.stepTimeout ? createRest(input) : {state, effects: []};
+	return input.now - state.since > input.settings.stepTimeout ? startBackoff(input) : {state, effects: []};
 }
 
-function createRest(input: Input): Step {
+/** Abandons the attempt and waits in proportion to this watcher's rank, so that watchers do not retry together. */
+function startBackoff(input: Input): Step {
 	const until = input.now + ((input.rank + 1) * input.settings.stagger);
 	return {state: {kind: 'backingOff', until}, effects: [{kind: 'publishStep', step: 'abandoned'}]};
 }
--- a/packages/decisions/step-group-failover.ts
+++ b/packages/decisions/step-group-failover.ts
@@ -4,13 +4,13 @@
 import type {HostEffect} from './host-effect.ts';
 import type {HostSettings} from './host-settings.ts';
 
-/** What a host keeps of a group after an event, and what to do. */
+/** The state of a group after an event, and the actions that follow. */
 type GroupStep = {readonly group: GroupState; readonly effects: readonly HostEffect[]};
 
 /**
- * Moves the failover of one group by one event, if this host watches the group.
+ * Advances the failover of one group by one event, if this host watches the group.
  *
- * @param group What the host keeps of the group.
+ * @param group The state of the group.
  * @param input The event, the settings, and monotonic milliseconds.
  */
 export function stepGroupFailover(
--- a/packages/decisions/step-host.ts
+++ b/packages/decisions/step-host.ts
@@ -28,11 +28,11 @@
 };
 
 /**
- * Moves a host's control loop by one event.
+ * Advances a host's control loop by one event.
  *
  * @param state The state so far.
  * @param input The event, the settings, and monotonic milliseconds.
- * @returns The state afterwards and what to do.
+ * @returns The state afterwards and the actions that follow.
  */
 export function stepHost(state: HostState, input: Input): HostStep {
 	const {event} = input;
@@ -84,7 +84,7 @@
 
 type EventOf<Kind extends HostEvent['kind']> = Extract<HostEvent, {readonly kind: Kind}>;
 
-/** Joins the platform's groups with what is known of them; instances may come and go, groups that are not listed stay. */
+/** Merges the platform's groups into the known ones: updates their instances, and keeps groups that are not listed. */
 function mergeGroups(
 	known: ReadonlyMap<string, GroupState>,
 	listed: readonly Group[],
@@ -93,20 +93,20 @@
 	for (const group of listed) {
 		const old = groups.get(group.database);
 		groups.set(group.database, old === undefined
-			? createControl(group)
+			? createGroupState(group)
 			: {...old, view: {...old.view, group}});
 	}
 
 	return groups;
 }
 
-function createControl(group: Group): GroupState {
+function createGroupState(group: Group): GroupState {
 	return {
 		view: createGroupView(group), failover: {kind: 'watching'}, watch: undefined, lastRequestAt: -Infinity, nextProbeAt: 0,
 	};
 }
 
-/** Assigns watches anew when the set of live hosts or of groups may have changed. */
+/** Reassigns the watch roles; needed when the set of live hosts or of groups may have changed. */
 function assignWatches(
 	state: HostState,
 	options: {readonly membership: Membership; readonly now: number},
@@ -140,24 +140,24 @@
 	state: HostState,
 	{event, now}: {readonly event: EventOf<'exchanged'>; readonly now: number},
 ): HostStep {
-	const heard = applyExchange(state.membership, {id: event.id, incarnation: event.incarnation, now});
-	const membership = applyMemberUpdates(heard, {memberUpdates: event.memberUpdates, now});
+	const exchanged = applyExchange(state.membership, {id: event.id, incarnation: event.incarnation, now});
+	const membership = applyMemberUpdates(exchanged, {memberUpdates: event.memberUpdates, now});
 	const adopted = adoptFleetConfiguration(state, {
 		fleet: event.fleet ?? state,
 		confirmedAt: event.head >= state.roster.head ? event.confirmedAt : -Infinity,
 		now,
 	});
 	const hasSameHead = event.head === adopted.state.roster.head;
-	const statements = hasSameHead
+	const confirmations = hasSameHead
 		? applyConfirmations(adopted.state.confirmations, event.confirmations)
 		: adopted.state.confirmations;
-	const told = adoptPrimaries({...adopted.state, confirmations: statements}, event);
+	const primariesStep = adoptPrimaries({...adopted.state, confirmations}, event);
 	const peerVersions = new Map(state.peerVersions).set(event.id, event.version);
 	const isChanged = listLiveHosts(membership).length !== listLiveHosts(state.membership).length;
-	const next = {...told.state, membership, peerVersions};
+	const next = {...primariesStep.state, membership, peerVersions};
 	return {
 		state: isChanged ? assignWatches(next, {membership, now}) : next,
-		effects: [...adopted.effects, ...told.effects],
+		effects: [...adopted.effects, ...primariesStep.effects],
 	};
 }
 
--- a/packages/decisions/step-tick.ts
+++ b/packages/decisions/step-tick.ts
@@ -15,10 +15,10 @@
 	readonly now: number;
 };
 
-/** Hosts of a zone that read the configuration's version for it. */
-const readersPerZone = 2;
+/** Number of hosts in each zone that read the configuration's version regularly. */
+const versionReadersPerZone = 2;
 
-/** Moves a host's control loop by the passing of time: exchanges, reads, probes and failovers that are due. */
+/** Advances a host's control loop by time: orders the exchanges, reads, roster changes and probes that are due. */
 export function stepTick(state: HostState, input: Input): HostStep {
 	const exchanged = scheduleExchange(state, input);
 	const read = scheduleReads(exchanged.state, input);
@@ -41,10 +41,10 @@
 	};
 }
 
-/** Probes a group that is watched or in use when it is due, and moves its failover on. */
+/** Probes a group that is watched or in use if a probe is due, and advances its failover. */
 function tickGroup(group: GroupState, {settings, now}: Input) {
-	const isUsed = now - group.lastRequestAt <= settings.demandSpan;
-	const isDue = (group.watch !== undefined || isUsed) && now >= group.nextProbeAt;
+	const isInUse = now - group.lastRequestAt <= settings.demandSpan;
+	const isDue = (group.watch !== undefined || isInUse) && now >= group.nextProbeAt;
 	const probed = isDue ? {...group, nextProbeAt: now + settings.probeInterval} : group;
 	const probe: readonly HostEffect[] = isDue ? [{kind: 'probe', database: group.view.group.database}] : [];
 	const step = stepGroupFailover(probed, {event: {kind: 'tick'}, settings, now});
@@ -72,7 +72,7 @@
 	}
 
 	if (now >= state.nextVersionReadAt) {
-		const isDue = now - state.tableConfirmedAt >= settings.versionFallback || isReader(state);
+		const isDue = now - state.tableConfirmedAt >= settings.versionFallback || isVersionReader(state);
 		effects.push(...(isDue ? [{kind: 'readVersion'} as const] : []));
 		next = {...next, nextVersionReadAt: now + settings.versionInterval};
 	}
@@ -80,8 +80,8 @@
 	return {state: next, effects};
 }
 
-/** Milliseconds between two looks at whether the roster still names the live hosts. */
-const rosterInterval = 200;
+/** Interval between two checks of whether the roster still matches the known hosts. */
+const rosterCheckIntervalMs = 200;
 
 function scheduleRoster(state: HostState, {now}: Input): HostStep {
 	if (now < state.nextRosterCheckAt) {
@@ -90,15 +90,15 @@
 
 	const roster = chooseRoster(state, now);
 	return {
-		state: {...state, nextRosterCheckAt: now + rosterInterval},
+		state: {...state, nextRosterCheckAt: now + rosterCheckIntervalMs},
 		effects: roster === undefined ? [] : [{kind: 'changeRoster', roster}],
 	};
 }
 
-/** Tells whether this host reads the configuration's version for its zone. */
-function isReader(state: HostState): boolean {
+/** Tells whether this host is one of those that read the configuration's version for its zone. */
+function isVersionReader(state: HostState): boolean {
 	const zoneHosts = listLiveHosts(state.membership).filter(({zone}) => zone === state.zone).map(({id}) => id);
 	return rankHosts(`configuration/${state.zone}`, zoneHosts)
-		.slice(0, readersPerZone)
+		.slice(0, versionReadersPerZone)
 		.includes(state.membership.self);
 }
--- a/packages/decisions/term-proof.ts
+++ b/packages/decisions/term-proof.ts
@@ -1,9 +1,9 @@
 import type {LogPoint} from './log-point.ts';
 
 /**
- * Proof that a majority of a group was in one term with its primary at one point, no earlier than `since`.
+ * Proof that a majority of a group was in one term, with its primary's log at one point, at `since` or later.
  *
- * Every write acknowledged before `since` is at or before `at`.
+ * Every write that was acknowledged before `since` is at or before `point` in the log.
  */
 export type TermProof = {
 	readonly term: number;
