--- a/packages/decisions/step-failover.ts
+++ b/packages/decisions/step-failover.ts
@@ -33,9 +33,9 @@
  * Advances a watcher's failover of one group by one event.
  *
  * A failover has four steps: suspect a silent primary, get the confirmation of another zone, fence a majority of the
- * instances in a new term, and promote the instance of that majority with the longest log. Acknowledged writes
- * survive without reliance on clocks or leases: any two majorities intersect, and an instance grants a term to one
- * owner only.
+ * instances in a new term, and promote the instance of that majority with the most up-to-date log. Acknowledged
+ * writes survive without reliance on clocks or leases: any two fenced majorities intersect, and an instance grants a
+ * term to one owner only.
  *
  * @param state The progress of the failover.
  * @param input The event, the group, the failover settings, this watcher's rank, and monotonic milliseconds.
@@ -171,7 +171,7 @@
 	};
 }
 
-/** Chooses the instance with the longest log; among equals one that does not depart and is not the suspected primary. */
+/** Chooses the most up-to-date log; among equals an instance that does not depart and is not the suspected primary. */
 function chooseSuccessor(reports: readonly InstanceReport[], view: GroupView): string {
 	const best = reports.toSorted((a, b) => {
 		const order = comparePoints(b.at, a.at);
