--- a/packages/decisions/assign-watch.ts
+++ b/packages/decisions/assign-watch.ts
@@ -1,27 +1,28 @@
 import {rankHosts} from './rank-hosts.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {Group} from './group.ts';
 import type {Host} from './host.ts';
 
 /**
- * Assigns this host's part in watching a group.
+ * Assigns this host's role as a watcher of a group, if it has one.
  *
- * One host a zone watches, in the zones that have an instance of the group.
+ * A group has one watcher in each zone that has an instance of the group: the live host that ranks first there.
  *
  * @param group The group.
- * @param options This host, the live and the listed hosts, the present part, and monotonic milliseconds.
+ * @param options This host, the live and the listed hosts, the present role, and monotonic milliseconds.
+ * @returns The role, or `undefined` if this host does not watch the group.
  */
 export function assignWatch(
 	group: Group,
 	options: {
 		readonly self: string;
 		readonly live: readonly Host[];
-		/** All hosts that the platform lists. */
+		/** All hosts that the platform lists, live or not. */
 		readonly listed: readonly Host[];
-		readonly present: GroupControl['watch'];
+		readonly present: GroupState['watch'];
 		readonly now: number;
 	},
-): GroupControl['watch'] {
+): GroupState['watch'] {
 	const {
 		self, live, listed, present, now,
 	} = options;
@@ -37,7 +38,7 @@
 	const ranked = rankHosts(resource, watchers);
 	return {
 		rank: ranked.indexOf(self),
-		needsAgreement: new Set(listed.map(({zone}) => zone)).size > 1,
+		needsConfirmation: new Set(listed.map(({zone}) => zone)).size > 1,
 		others: ranked.filter(id => id !== self),
 		since: present?.since ?? now,
 	};
--- a/packages/decisions/create-host-state.ts
+++ b/packages/decisions/create-host-state.ts
@@ -6,7 +6,7 @@
  * Creates the state of a host that has just started and knows only itself.
  *
  * @param host This host.
- * @param incarnation A number that is higher than at any earlier start of the host, such as the wall clock.
+ * @param incarnation A number higher than at any earlier start of the host, such as the wall-clock time.
  */
 export function createHostState(host: Host, incarnation: number): HostState {
 	return {
@@ -21,13 +21,13 @@
 		},
 		homesKnownAt: 0,
 		rosterHistory: [],
-		provenAt: -Infinity,
-		statements: new Map(),
-		speaksFrom: Infinity,
-		isCommitting: false,
-		versions: new Map(),
+		tableConfirmedAt: -Infinity,
+		confirmations: new Map(),
+		confirmsFrom: Infinity,
+		hasPendingCommit: false,
+		peerVersions: new Map(),
 		isDraining: false,
-		round: 0,
+		exchangeRound: 0,
 		nextExchangeAt: 0,
 		nextVersionReadAt: 0,
 		nextFleetReadAt: 0,
--- a/packages/decisions/host-event.ts
+++ b/packages/decisions/host-event.ts
@@ -1,21 +1,21 @@
-import type {AcceptorStatement} from './acceptor-statement.ts';
+import type {AcceptorConfirmation} from './acceptor-confirmation.ts';
 import type {FleetConfiguration} from './fleet-configuration.ts';
 import type {FailoverEvent} from './failover-event.ts';
 import type {Group} from './group.ts';
 import type {GroupPrimary} from './group-primary.ts';
 import type {Host} from './host.ts';
 import type {InstanceReport} from './instance-report.ts';
-import type {MemberNews} from './member-news.ts';
+import type {MemberUpdate} from './member-update.ts';
 
-/** What moves a host's control loop on. Times are monotonic milliseconds. */
+/** An input of a host's control loop. Times are monotonic milliseconds. */
 export type HostEvent =
 	| {readonly kind: 'tick'}
 	| {readonly kind: 'fleetRead'; readonly hosts: readonly Host[]; readonly groups: readonly Group[]}
 	| {
-		/** The newest configuration, read from the table no earlier than `provenAt`. */
+		/** The newest configuration, read from the platform's table no earlier than `confirmedAt`. */
 		readonly kind: 'configurationRead';
 		readonly fleet: FleetConfiguration;
-		readonly provenAt: number;
+		readonly confirmedAt: number;
 	}
 	| {readonly kind: 'exchangeFailed'; readonly id: string}
 	| {
@@ -27,13 +27,13 @@
 		readonly head: number;
 		/** Present when the other host knows a newer head. */
 		readonly fleet: FleetConfiguration | undefined;
-		readonly statements: readonly AcceptorStatement[];
-		/** When the other host's version was the newest at the earliest; -Infinity in a push. */
-		readonly provenAt: number;
+		readonly confirmations: readonly AcceptorConfirmation[];
+		/** Moment as of which a table read confirmed the other host's version; -Infinity if the other host started the exchange. */
+		readonly confirmedAt: number;
 		readonly primaries: readonly GroupPrimary[];
-		readonly news: readonly MemberNews[];
+		readonly memberUpdates: readonly MemberUpdate[];
 	}
-	| {readonly kind: 'demanded'; readonly database: string}
+	| {readonly kind: 'groupRequested'; readonly database: string}
 	| {
 		readonly kind: 'reported';
 		readonly database: string;
@@ -41,5 +41,5 @@
 		readonly sentAt: number;
 	}
 	| {readonly kind: 'failover'; readonly database: string; readonly event: FailoverEvent}
-	| {readonly kind: 'commitChanged'; readonly isCommitting: boolean}
-	| {readonly kind: 'drained'};
+	| {readonly kind: 'commitChanged'; readonly hasPendingCommit: boolean}
+	| {readonly kind: 'drainStarted'};
--- a/packages/decisions/step-group-failover.ts
+++ b/packages/decisions/step-group-failover.ts
@@ -1,20 +1,20 @@
 import {stepFailover} from './step-failover.ts';
 import type {FailoverEvent} from './failover-event.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {HostEffect} from './host-effect.ts';
 import type {HostSettings} from './host-settings.ts';
 
-/** What a host keeps of a group after an event, and what to do. */
-type GroupStep = {readonly group: GroupControl; readonly effects: readonly HostEffect[]};
+/** The state of a group after an event, and the actions that follow. */
+type GroupStep = {readonly group: GroupState; readonly effects: readonly HostEffect[]};
 
 /**
- * Moves the failover of one group by one event, if this host watches the group.
+ * Advances the failover of one group by one event, if this host watches the group.
  *
- * @param group What the host keeps of the group.
+ * @param group The state of the group.
  * @param input The event, the settings, and monotonic milliseconds.
  */
 export function stepGroupFailover(
-	group: GroupControl,
+	group: GroupState,
 	input: {readonly event: FailoverEvent; readonly settings: HostSettings; readonly now: number},
 ): GroupStep {
 	if (group.watch === undefined) {
@@ -28,7 +28,7 @@
 		settings: input.settings.failover,
 		watchedSince: group.watch.since,
 		rank: group.watch.rank,
-		needsAgreement: group.watch.needsAgreement,
+		needsConfirmation: group.watch.needsConfirmation,
 		now: input.now,
 	});
 	return {
--- a/packages/decisions/step-host.ts
+++ b/packages/decisions/step-host.ts
@@ -1,17 +1,17 @@
 import {updateGroup} from './_update-group.ts';
-import {adoptFleet} from './adopt-fleet.ts';
+import {adoptFleetConfiguration} from './adopt-fleet-configuration.ts';
 import {adoptPrimary} from './adopt-primary.ts';
+import {applyConfirmations} from './apply-confirmations.ts';
 import {applyExchange} from './apply-exchange.ts';
-import {applyFleet} from './apply-fleet.ts';
-import {applyNews} from './apply-news.ts';
+import {applyHostList} from './apply-host-list.ts';
+import {applyMemberUpdates} from './apply-member-updates.ts';
 import {applyReport} from './apply-report.ts';
-import {applyStatements} from './apply-statements.ts';
 import {assignWatch} from './assign-watch.ts';
 import {createGroupView} from './create-group-view.ts';
 import {listLiveHosts} from './list-live-hosts.ts';
 import {stepGroupFailover} from './step-group-failover.ts';
 import {stepTick} from './step-tick.ts';
-import type {GroupControl} from './group-control.ts';
+import type {GroupState} from './group-state.ts';
 import type {Group} from './group.ts';
 import type {HostEffect} from './host-effect.ts';
 import type {HostEvent} from './host-event.ts';
@@ -28,11 +28,11 @@
 };
 
 /**
- * Moves a host's control loop by one event.
+ * Advances a host's control loop by one event.
  *
  * @param state The state so far.
  * @param input The event, the settings, and monotonic milliseconds.
- * @returns The state afterwards and what to do.
+ * @returns The state afterwards and the actions that follow.
  */
 export function stepHost(state: HostState, input: Input): HostStep {
 	const {event} = input;
@@ -42,13 +42,13 @@
 		}
 
 		case 'fleetRead': {
-			const membership = applyFleet(state.membership, event.hosts);
+			const membership = applyHostList(state.membership, event.hosts);
 			const groups = mergeGroups(state.groups, event.groups);
 			return {state: assignWatches({...state, groups}, {membership, now: input.now}), effects: []};
 		}
 
 		case 'configurationRead': {
-			return adoptFleet(state, {...event, now: input.now});
+			return adoptFleetConfiguration(state, {...event, now: input.now});
 		}
 
 		case 'exchangeFailed': {
@@ -60,8 +60,8 @@
 			return stepExchanged(state, {event, now: input.now});
 		}
 
-		case 'demanded': {
-			return {state: updateGroup(state, event.database, group => ({...group, demandedAt: input.now})), effects: []};
+		case 'groupRequested': {
+			return {state: updateGroup(state, event.database, group => ({...group, lastRequestAt: input.now})), effects: []};
 		}
 
 		case 'reported': {
@@ -73,10 +73,10 @@
 		}
 
 		case 'commitChanged': {
-			return {state: {...state, isCommitting: event.isCommitting}, effects: []};
+			return {state: {...state, hasPendingCommit: event.hasPendingCommit}, effects: []};
 		}
 
-		case 'drained': {
+		case 'drainStarted': {
 			return {state: {...state, isDraining: true}, effects: []};
 		}
 	}
@@ -84,29 +84,29 @@
 
 type EventOf<Kind extends HostEvent['kind']> = Extract<HostEvent, {readonly kind: Kind}>;
 
-/** Joins the platform's groups with what is known of them; instances may come and go, groups that are not listed stay. */
+/** Merges the platform's groups into the known ones: updates their instances, and keeps groups that are not listed. */
 function mergeGroups(
-	known: ReadonlyMap<string, GroupControl>,
+	known: ReadonlyMap<string, GroupState>,
 	listed: readonly Group[],
-): ReadonlyMap<string, GroupControl> {
+): ReadonlyMap<string, GroupState> {
 	const groups = new Map(known);
 	for (const group of listed) {
 		const old = groups.get(group.database);
 		groups.set(group.database, old === undefined
-			? createControl(group)
+			? createGroupState(group)
 			: {...old, view: {...old.view, group}});
 	}
 
 	return groups;
 }
 
-function createControl(group: Group): GroupControl {
+function createGroupState(group: Group): GroupState {
 	return {
-		view: createGroupView(group), failover: {kind: 'watching'}, watch: undefined, demandedAt: -Infinity, nextProbeAt: 0,
+		view: createGroupView(group), failover: {kind: 'watching'}, watch: undefined, lastRequestAt: -Infinity, nextProbeAt: 0,
 	};
 }
 
-/** Assigns watches anew when the set of live hosts or of groups may have changed. */
+/** Reassigns the watch roles; needed when the set of live hosts or of groups may have changed. */
 function assignWatches(
 	state: HostState,
 	options: {readonly membership: Membership; readonly now: number},
@@ -140,24 +140,24 @@
 	state: HostState,
 	{event, now}: {readonly event: EventOf<'exchanged'>; readonly now: number},
 ): HostStep {
-	const heard = applyExchange(state.membership, {id: event.id, incarnation: event.incarnation, now});
-	const membership = applyNews(heard, {news: event.news, now});
-	const adopted = adoptFleet(state, {
+	const exchanged = applyExchange(state.membership, {id: event.id, incarnation: event.incarnation, now});
+	const membership = applyMemberUpdates(exchanged, {memberUpdates: event.memberUpdates, now});
+	const adopted = adoptFleetConfiguration(state, {
 		fleet: event.fleet ?? state,
-		provenAt: event.head >= state.roster.head ? event.provenAt : -Infinity,
+		confirmedAt: event.head >= state.roster.head ? event.confirmedAt : -Infinity,
 		now,
 	});
 	const hasSameHead = event.head === adopted.state.roster.head;
-	const statements = hasSameHead
-		? applyStatements(adopted.state.statements, event.statements)
-		: adopted.state.statements;
-	const told = adoptPrimaries({...adopted.state, statements}, event);
-	const versions = new Map(state.versions).set(event.id, event.version);
+	const confirmations = hasSameHead
+		? applyConfirmations(adopted.state.confirmations, event.confirmations)
+		: adopted.state.confirmations;
+	const primariesStep = adoptPrimaries({...adopted.state, confirmations}, event);
+	const peerVersions = new Map(state.peerVersions).set(event.id, event.version);
 	const isChanged = listLiveHosts(membership).length !== listLiveHosts(state.membership).length;
-	const next = {...told.state, membership, versions};
+	const next = {...primariesStep.state, membership, peerVersions};
 	return {
 		state: isChanged ? assignWatches(next, {membership, now}) : next,
-		effects: [...adopted.effects, ...told.effects],
+		effects: [...adopted.effects, ...primariesStep.effects],
 	};
 }
 
@@ -168,7 +168,7 @@
 		const old = next.groups.get(primary.database)?.view;
 		next = updateGroup(next, primary.database, group => ({...group, view: adoptPrimary(group.view, primary)}));
 		if (next.groups.get(primary.database)?.view !== old) {
-			effects.push({kind: 'tellPrimary', ...primary});
+			effects.push({kind: 'publishPrimary', ...primary});
 		}
 	}
 
@@ -191,7 +191,7 @@
 		state: next,
 		effects: isNew
 			? [{
-				kind: 'tellPrimary', database: event.database, term: view.term, instance: view.primary,
+				kind: 'publishPrimary', database: event.database, term: view.term, instance: view.primary,
 			}]
 			: [],
 	};
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -1,4 +1,4 @@
-import {findProvenAt, listLiveHosts, type HostState} from '@sapphirefall/decisions';
+import {findConfirmedAt, listLiveHosts, type HostState} from '@sapphirefall/decisions';
 import {formatEvent, type EventLog} from '@sapphirefall/events';
 import type {Metrics, OperatorBackend} from '@sapphirefall/operators';
 import type {ChangeBackend} from './change-backend.ts';
@@ -24,7 +24,7 @@
 
 /** Creates what carries out operators' requests on this host. */
 export function createOperatorBackend(options: Options): OperatorBackend {
-	const findAge = () => options.now() - findProvenAt(options.readState());
+	const findAge = () => options.now() - findConfirmedAt(options.readState());
 	return {
 		change: options.changes.change,
 		readStatus() {
@@ -46,7 +46,7 @@
 					id: host.id,
 					zone: host.zone,
 					alive: live.has(host.id),
-					configVersion: host.id === options.self ? state.configuration.version : state.versions.get(host.id) ?? 0,
+					configVersion: host.id === options.self ? state.configuration.version : state.peerVersions.get(host.id) ?? 0,
 				})),
 				roster: [...state.roster.homes],
 				acceptors: [...state.roster.acceptors],
