--- a/daemons/run-serve.ts
+++ b/daemons/run-serve.ts
@@ -68,7 +68,7 @@
 
 async function openListeners(settings: HostFile, host: RunningHost): Promise<readonly Listener[]> {
 	const callers = createCallerHandler({
-		handle: host.handle, largest: settings.requests.largest, createId: randomUUID,
+		handle: host.handle, maxRequestBytes: settings.requests.largest, createRequestId: randomUUID,
 	});
 	const hosts = connectNodeAdapter({
 		routes(router) {
--- a/packages/callers/create-caller-handler.test.ts
+++ b/packages/callers/create-caller-handler.test.ts
@@ -29,8 +29,8 @@
 				seen.handled.push(request);
 				return {answer: createRefusal(resultCodes.keyUnknown, {reason: 'the key was withdrawn or never given'}), session: ''};
 			},
-			largest,
-			createId: () => 'made-up',
+			maxRequestBytes: largest,
+			createRequestId: () => 'made-up',
 		}));
 		await new Promise<void>(resolve => {
 			server.listen(0, '127.0.0.1', resolve);
@@ -77,8 +77,8 @@
 
 				return {answer: createRefusal(resultCodes.keyUnknown, {reason: request.requestId}), session: ''};
 			},
-			largest,
-			createId: () => 'made-up',
+			maxRequestBytes: largest,
+			createRequestId: () => 'made-up',
 		}));
 		await new Promise<void>(resolve => {
 			streams.listen(0, '127.0.0.1', resolve);
--- a/packages/callers/create-caller-handler.ts
+++ b/packages/callers/create-caller-handler.ts
@@ -21,9 +21,9 @@
 type Options = {
 	readonly handle: (request: Request) => Promise<Handled>;
 	/** Bytes of the largest request. */
-	readonly largest: number;
+	readonly maxRequestBytes: number;
 	/** Creates an identifier for a request that has none. */
-	readonly createId: () => string;
+	readonly createRequestId: () => string;
 };
 
 type NodeRequest = IncomingMessage | Http2ServerRequest;
@@ -43,7 +43,7 @@
 export function createCallerHandler(options: Options): (request: NodeRequest, response: NodeResponse) => void {
 	const answerOne = async (message: ExecuteRequest, context: HandlerContext): Promise<ExecuteResponse> => {
 		const authorization = context.requestHeader.get('authorization') ?? '';
-		const request = decodeRequest(message, {authorization, fallbackId: options.createId()});
+		const request = decodeRequest(message, {authorization, fallbackId: options.createRequestId()});
 		const {answer, session} = await options.handle(request);
 		return encodeAnswer(answer, {requestId: request.requestId, session});
 	};
@@ -57,7 +57,7 @@
 		}
 	};
 
-	const router = createConnectRouter({readMaxBytes: options.largest, jsonOptions: {ignoreUnknownFields: false}});
+	const router = createConnectRouter({readMaxBytes: options.maxRequestBytes, jsonOptions: {ignoreUnknownFields: false}});
 	router.service(CallerService, {
 		execute: answerOne,
 		async * converse(messages, context) {
@@ -79,7 +79,7 @@
 		const isJson = (request.headers['content-type'] ?? '').startsWith('application/json');
 		if (result.status >= httpBadRequest && isJson) {
 			response.writeHead(result.status, jsonHeaders);
-			response.end(`${formatUndecodable(result.status, options.largest)}\n`);
+			response.end(`${formatUndecodable(result.status, options.maxRequestBytes)}\n`);
 			return;
 		}
 
--- a/packages/callers/create-session-codec.ts
+++ b/packages/callers/create-session-codec.ts
@@ -15,12 +15,12 @@
 export function createSessionCodec(secret: string): SessionCodec {
 	const sign = (body: string) => createHmac('sha256', secret).update(body).digest();
 	return {
-		write({workspace, database, point}) {
+		encode({workspace, database, point}) {
 			const fields = [workspace, database, point.term, point.position.toString()];
 			const body = Buffer.from(JSON.stringify(fields)).toString('base64url');
 			return `${body}.${sign(body).toString('base64url')}`;
 		},
-		read(token) {
+		decode(token) {
 			const [body = '', signature = ''] = token.split('.');
 			const expected = sign(body);
 			const given = Buffer.from(signature, 'base64url');
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -19,8 +19,8 @@
 	readonly findGroup: (database: string) => GroupRuntime | undefined;
 	readonly demand: (database: string) => void;
 	readonly sessions: {
-		readonly write: (claim: SessionClaim) => string;
-		readonly read: (token: string) => SessionClaim | undefined;
+		readonly encode: (claim: SessionClaim) => string;
+		readonly decode: (token: string) => SessionClaim | undefined;
 	};
 	readonly events: EventLog;
 	readonly metrics: Metrics;
@@ -58,7 +58,7 @@
 			staleAfter: settings.keys.staleAfter,
 			defaultTimeout: settings.requests.defaultDeadline,
 			maxTimeout: settings.requests.longestDeadline,
-			readSession: options.sessions.read,
+			readSession: options.sessions.decode,
 			now: now(),
 		});
 	};
@@ -125,7 +125,7 @@
 		const point = answer.point ?? known;
 		return point === undefined
 			? ''
-			: options.sessions.write({workspace: request.workspace, database: request.database, point});
+			: options.sessions.encode({workspace: request.workspace, database: request.database, point});
 	};
 
 	const run = async (request: AdmittedRequest): Promise<Handled> => {
