--- a/packages/settings/list-settings.test.ts
+++ b/packages/settings/list-settings.test.ts
@@ -19,7 +19,7 @@
 
 describe('docs/SETTINGS.md', () => {
 	it('names every setting with its default and its meaning', () => {
-		const rows = listSettings(hostSchema).map(({path, fallback, description}) => `| ${path} | ${fallback} | ${description} |\n`);
+		const rows = listSettings(hostSchema).map(({path, defaultJson, description}) => `| ${path} | ${defaultJson} | ${description} |\n`);
 		const text = `${intro}${rows.join('')}`;
 		if (process.env['UPDATE_GOLDEN'] === '1') {
 			writeFileSync(page, text);
--- a/packages/settings/list-settings.ts
+++ b/packages/settings/list-settings.ts
@@ -4,7 +4,7 @@
 type SettingEntry = {
 	readonly path: string;
 	/** The default as JSON; empty when the setting is required or has none. */
-	readonly fallback: string;
+	readonly defaultJson: string;
 	readonly description: string;
 };
 
@@ -26,7 +26,7 @@
 		return part.properties === undefined
 			? [{
 				path,
-				fallback: part.default === undefined ? '' : JSON.stringify(part.default),
+				defaultJson: part.default === undefined ? '' : JSON.stringify(part.default),
 				description: part.description ?? '',
 			}]
 			: listEntries(`${path}.`, part);
