--- a/packages/endpoints/open-connection.ts
+++ b/packages/endpoints/open-connection.ts
@@ -41,8 +41,8 @@
 	}));
 	const channel = openChannel<BatchRequest, BatchResponse>({
 		open: (requests, signal) => client.connect(requests, {signal}),
-		heartbeat: {createPing, interval: options.heartbeatInterval, silenceLimit: options.silenceLimit},
-		idleSpan: undefined,
+		heartbeat: {createPing, intervalMs: options.heartbeatInterval, timeoutMs: options.silenceLimit},
+		idleTimeoutMs: undefined,
 		now: options.now,
 		onClosed() {
 			sessions.abort();
--- a/packages/hosts/create-forwarder.ts
+++ b/packages/hosts/create-forwarder.ts
@@ -33,10 +33,10 @@
 		open: (client, requests, signal) => client.forward(requests, {signal}),
 		heartbeat: {
 			createPing: id => create(ForwardRequestSchema, {id, ping: true}),
-			interval: options.heartbeatInterval,
-			silenceLimit: options.silenceLimit,
+			intervalMs: options.heartbeatInterval,
+			timeoutMs: options.silenceLimit,
 		},
-		idleSpan: options.idleSpan,
+		idleTimeoutMs: options.idleSpan,
 		now: options.now,
 	});
 
--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -46,7 +46,7 @@
 		service: HostService,
 		open: (client, requests, signal) => client.control(requests, {signal}),
 		heartbeat: undefined,
-		idleSpan: options.idleSpan,
+		idleTimeoutMs: options.idleSpan,
 		now: options.now,
 	});
 
--- a/packages/hosts/open-call-connection.ts
+++ b/packages/hosts/open-call-connection.ts
@@ -158,7 +158,7 @@
 		heardAt = now();
 		isDoubtful = false;
 	});
-	readFrames(socket, {receive, onBroken: breakOff});
+	readFrames(socket, {onMessage: receive, onError: breakOff});
 	// The close that follows ends all calls.
 	socket.on('error', () => undefined);
 	socket.on('close', close);
@@ -170,7 +170,7 @@
 
 	return {
 		async call(encode, {timeout, isWatched}) {
-			if (isClosed || writer.waitingBytes() > waitingLimit) {
+			if (isClosed || writer.bufferedBytes() > waitingLimit) {
 				return {kind: 'notSent'};
 			}
 
--- a/packages/hosts/serve-calls.ts
+++ b/packages/hosts/serve-calls.ts
@@ -59,7 +59,7 @@
 		}
 
 		writer.write(message);
-		if (writer.waitingBytes() > waitingLimit) {
+		if (writer.bufferedBytes() > waitingLimit) {
 			breakOff('answers are not taken');
 		}
 	};
@@ -74,7 +74,7 @@
 		void run(request);
 	};
 
-	readFrames(socket, {receive, onBroken: breakOff});
+	readFrames(socket, {onMessage: receive, onError: breakOff});
 	// A reset is followed by the close; what runs goes on, and its answers are not written.
 	socket.on('error', () => undefined);
 	socket.setTimeout(idleSpan, () => {
--- a/packages/wire/channel-options.ts
+++ b/packages/wire/channel-options.ts
@@ -7,7 +7,7 @@
 	/** Undefined for a channel whose every request has a time limit that closes it. */
 	readonly heartbeat: Heartbeat<Request> | undefined;
 	/** Milliseconds without a request after which the channel is closed; undefined to keep it. */
-	readonly idleSpan: number | undefined;
+	readonly idleTimeoutMs: number | undefined;
 	/** Present monotonic milliseconds. */
 	readonly now: () => number;
 	/** Called once when the channel is closed, by either side. */
--- a/packages/wire/create-frame-splitter.test.ts
+++ b/packages/wire/create-frame-splitter.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import {createFrameSplitter} from './create-frame-splitter.ts';
 import {createFrameWriter} from './create-frame-writer.ts';
-import {frameLimit} from './frame-limit.ts';
+import {maxFrameBytes} from './max-frame-bytes.ts';
 
 /** Writes messages as frames and returns the bytes. */
 async function writeFrames(messages: readonly Uint8Array[]): Promise<{readonly bytes: Buffer; readonly writes: number}> {
@@ -70,7 +70,7 @@
 	}
 
 	it('takes a message that is as long as one may be', async () => {
-		const {bytes} = await writeFrames([new Uint8Array(frameLimit)]);
-		expect(createFrameSplitter()(bytes)?.map(message => message.length)).to.deep.equal([frameLimit]);
+		const {bytes} = await writeFrames([new Uint8Array(maxFrameBytes)]);
+		expect(createFrameSplitter()(bytes)?.map(message => message.length)).to.deep.equal([maxFrameBytes]);
 	});
 });
--- a/packages/wire/create-frame-splitter.ts
+++ b/packages/wire/create-frame-splitter.ts
@@ -1,6 +1,6 @@
 import {Buffer} from 'node:buffer';
-import {frameHeaderLength} from './frame-header-length.ts';
-import {frameLimit} from './frame-limit.ts';
+import {frameHeaderBytes} from './frame-header-bytes.ts';
+import {maxFrameBytes} from './max-frame-bytes.ts';
 
 /**
  * Creates a function that takes pieces of a byte stream and returns the messages of the whole frames in them.
@@ -18,7 +18,7 @@
 	let pieces: Buffer[] = [];
 	let length = 0;
 	/** Length at which the frame that has begun is whole, as far as that is known. */
-	let needed = frameHeaderLength;
+	let needed = frameHeaderBytes;
 
 	return piece => {
 		pieces.push(piece);
@@ -30,21 +30,21 @@
 		const bytes = pieces.length === 1 ? piece : Buffer.concat(pieces, length);
 		const messages: Buffer[] = [];
 		let at = 0;
-		needed = frameHeaderLength;
-		while (bytes.length - at >= frameHeaderLength) {
+		needed = frameHeaderBytes;
+		while (bytes.length - at >= frameHeaderBytes) {
 			const messageLength = bytes.readUInt32BE(at);
-			if (messageLength > frameLimit) {
+			if (messageLength > maxFrameBytes) {
 				return undefined;
 			}
 
-			needed = frameHeaderLength + messageLength;
+			needed = frameHeaderBytes + messageLength;
 			if (bytes.length - at < needed) {
 				break;
 			}
 
-			messages.push(bytes.subarray(at + frameHeaderLength, at + needed));
+			messages.push(bytes.subarray(at + frameHeaderBytes, at + needed));
 			at += needed;
-			needed = frameHeaderLength;
+			needed = frameHeaderBytes;
 		}
 
 		pieces = at < bytes.length ? [bytes.subarray(at)] : [];
--- a/packages/wire/create-frame-writer.ts
+++ b/packages/wire/create-frame-writer.ts
@@ -1,6 +1,6 @@
 import {Buffer} from 'node:buffer';
 import type {Writable} from 'node:stream';
-import {frameHeaderLength} from './frame-header-length.ts';
+import {frameHeaderBytes} from './frame-header-bytes.ts';
 import type {FrameWriter} from './frame-writer.ts';
 
 /**
@@ -28,9 +28,9 @@
 			}
 
 			messages.push(message);
-			length += frameHeaderLength + message.length;
+			length += frameHeaderBytes + message.length;
 		},
-		waitingBytes: () => length + output.writableLength,
+		bufferedBytes: () => length + output.writableLength,
 	};
 }
 
--- a/packages/wire/frame-header-length.ts
+++ b/packages/wire/frame-header-bytes.ts
@@ -1,2 +1,2 @@
 /** Bytes in front of a frame's message that tell its length. */
-export const frameHeaderLength = 4;
+export const frameHeaderBytes = 4;
--- a/packages/wire/frame-writer.ts
+++ b/packages/wire/frame-writer.ts
@@ -3,5 +3,5 @@
 	/** Writes a message; all messages of a turn of the loop go out together. */
 	readonly write: (message: Uint8Array) => void;
 	/** Bytes that the other side has not taken yet. */
-	readonly waitingBytes: () => number;
+	readonly bufferedBytes: () => number;
 };
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -2,7 +2,7 @@
 export type Heartbeat<Request> = {
 	readonly createPing: (id: number) => Request;
 	/** Milliseconds between two heartbeats. */
-	readonly interval: number;
+	readonly intervalMs: number;
 	/** Milliseconds without any answer after which the channel counts as silent and is closed. */
-	readonly silenceLimit: number;
+	readonly timeoutMs: number;
 };
--- a/packages/wire/mod.ts
+++ b/packages/wire/mod.ts
@@ -14,7 +14,7 @@
 export * from './encode-statement.ts';
 export * from './encode-value.ts';
 export * from './format-results.ts';
-export * from './frame-limit.ts';
+export * from './max-frame-bytes.ts';
 export type * from './frame-writer.ts';
 export type * from './heartbeat.ts';
 export * from './open-channel.ts';
--- a/packages/wire/open-channel.ts
+++ b/packages/wire/open-channel.ts
@@ -35,8 +35,8 @@
 		options.onClosed();
 	};
 
-	const beat = ({createPing, silenceLimit}: Heartbeat<Request>) => {
-		if (options.now() - heardAt > silenceLimit) {
+	const beat = ({createPing, timeoutMs}: Heartbeat<Request>) => {
+		if (options.now() - heardAt > timeoutMs) {
 			close();
 		} else {
 			lastId++;
@@ -44,15 +44,15 @@
 		}
 	};
 
-	const {heartbeat, idleSpan} = options;
-	const heartbeatTimer = heartbeat && setInterval(beat, heartbeat.interval, heartbeat);
-	const idleTimer = idleSpan === undefined
+	const {heartbeat, idleTimeoutMs} = options;
+	const heartbeatTimer = heartbeat && setInterval(beat, heartbeat.intervalMs, heartbeat);
+	const idleTimer = idleTimeoutMs === undefined
 		? undefined
 		: setInterval(() => {
-			if (pending.size === 0 && options.now() - sentAt > idleSpan) {
+			if (pending.size === 0 && options.now() - sentAt > idleTimeoutMs) {
 				close();
 			}
-		}, idleSpan);
+		}, idleTimeoutMs);
 
 	const receive = async () => {
 		try {
--- a/packages/wire/read-frames.ts
+++ b/packages/wire/read-frames.ts
@@ -4,27 +4,27 @@
 
 type Options = {
 	/** Takes a message; throws when it cannot be read. */
-	readonly receive: (message: Uint8Array) => void;
+	readonly onMessage: (message: Uint8Array) => void;
 	/** Called with what is wrong with the stream, which must not be read any further. */
-	readonly onBroken: (reason: string) => void;
+	readonly onError: (reason: string) => void;
 };
 
 /** Reads the messages of a stream of frames, such as a socket; see `createFrameSplitter`. */
-export function readFrames(input: Readable, {receive, onBroken}: Options): void {
+export function readFrames(input: Readable, {onMessage, onError}: Options): void {
 	const split = createFrameSplitter();
 	input.on('data', (piece: Buffer) => {
 		const messages = split(piece);
 		if (messages === undefined) {
-			onBroken('a message is too long');
+			onError('a message is too long');
 			return;
 		}
 
 		try {
 			for (const message of messages) {
-				receive(message);
+				onMessage(message);
 			}
 		} catch (error) {
-			onBroken((error as Error).message);
+			onError((error as Error).message);
 		}
 	});
 }
