--- a/packages/settings/declaration-file.ts
+++ b/packages/settings/declaration-file.ts
@@ -1,5 +1,5 @@
 import type {z} from 'zod';
 import type {declarationSchema} from './declaration-schema.ts';
 
-/** A declaration as its file has it. */
+/** Parsed content of a declaration file. */
 export type DeclarationFile = z.infer<typeof declarationSchema>;
--- a/packages/settings/declaration-schema.ts
+++ b/packages/settings/declaration-schema.ts
@@ -5,21 +5,21 @@
 	error: 'must be latest, session or within <age> such as "within 10s"',
 });
 
-/** The schema of a declaration for `sapphirefall apply`; a section that is absent stays as it is. */
+/** Schema of a declaration file for `sapphirefall apply`. A section that is absent from the file stays unchanged. */
 export const declarationSchema = z.strictObject({
 	workspaces: z.record(z.string(), z.strictObject({
-		/** Units a second over the whole fleet. */
+		/** Units per second over the whole fleet. */
 		rate: z.number().positive(),
-		/** Units that may be used at once. */
+		/** Maximum units that the workspace can use at once. */
 		burst: z.number().positive(),
 		databases: z.array(z.string()),
 	})).optional(),
-	/** Keys by name, with the SHA-256 digest in hexadecimal. */
+	/** Keys by name, each with the SHA-256 digest of the key in hexadecimal. */
 	keys: z.record(z.string(), z.strictObject({
 		workspace: z.string(),
 		digest: z.string().regex(/^[0-9a-f]{64}$/v, 'must be a SHA-256 digest of 64 hexadecimal digits'),
 	})).optional(),
-	/** Fleet-wide freshness by kind of read. */
+	/** Fleet-wide default freshness by kind of read. */
 	freshness: z.record(z.string(), freshness).optional(),
 	exceptions: z.array(z.strictObject({
 		workspace: z.string(), kind: z.string(), freshness, reason: z.string().min(10),
--- a/packages/settings/host-file.ts
+++ b/packages/settings/host-file.ts
@@ -1,5 +1,5 @@
 import type {z} from 'zod';
 import type {hostSchema} from './host-schema.ts';
 
-/** The settings of one entry host, checked and with defaults filled in. */
+/** Parsed settings file of an entry host, validated and with defaults applied. */
 export type HostFile = z.infer<typeof hostSchema>;
--- a/packages/settings/list-settings.ts
+++ b/packages/settings/list-settings.ts
@@ -1,21 +1,22 @@
 import {z} from 'zod';
 
-/** One documented setting. */
+/** A setting with its documentation. */
 type SettingEntry = {
+	/** Names from the root, joined by dots. */
 	readonly path: string;
-	/** The default as JSON; empty when the setting is required or has none. */
+	/** Default value as JSON; empty if the setting has none. */
 	readonly defaultJson: string;
 	readonly description: string;
 };
 
-/** The parts of a JSON schema that settings use. */
+/** The properties of a JSON schema that `listSettings` reads. */
 type JsonSchema = {
 	readonly properties?: Readonly<Record<string, JsonSchema>>;
 	readonly default?: unknown;
 	readonly description?: string;
 };
 
-/** Lists the settings of a schema, for the page that documents them. */
+/** Lists the settings of a schema in the order of their declaration, to generate the settings page. */
 export function listSettings(schema: z.ZodType): readonly SettingEntry[] {
 	return listEntries('', z.toJSONSchema(schema, {io: 'input'}) as JsonSchema);
 }
--- a/packages/settings/parse-settings.test.ts
+++ b/packages/settings/parse-settings.test.ts
@@ -14,15 +14,15 @@
 `;
 
 describe('parseSettings', () => {
-	const faults: ReadonlyArray<readonly [string, string, ReadonlyArray<readonly [number, string, RegExp]>]> = [
+	const cases: ReadonlyArray<readonly [string, string, ReadonlyArray<readonly [number, string, RegExp]>]> = [
 		['an unknown name', `${valid}colour: red\n`, [[7, 'colour', /no setting/v]]],
 		['a value of the wrong type', `${valid}keys: {staleAfter: soon}\n`, [[7, 'keys.staleAfter', /"soon".*number/v]]],
-		['a value below the least', `${valid}failover:\n  stagger: 0\n`, [[8, 'failover.stagger', /0.*at least 1/v]]],
+		['a value below the minimum', `${valid}failover:\n  stagger: 0\n`, [[8, 'failover.stagger', /0.*at least 1/v]]],
 		['a missing setting', valid.replace(/^platform.*\n/mv, ''), [[1, 'platform', /missing/v]]],
-		['several faults at once', `${valid}colour: red\nkeys: {staleAfter: -1}\n`, [[7, 'colour', /no setting/v], [8, 'keys.staleAfter', /-1/v]]],
-		['text that is no YAML', 'host: {', [[1, '', /./v]]],
+		['several errors at once', `${valid}colour: red\nkeys: {staleAfter: -1}\n`, [[7, 'colour', /no setting/v], [8, 'keys.staleAfter', /-1/v]]],
+		['text that is not YAML', 'host: {', [[1, '', /./v]]],
 	];
-	for (const [title, text, expected] of faults) {
+	for (const [title, text, expected] of cases) {
 		it(`reports ${title} with line and path`, () => {
 			const outcome = parseSettings(text, hostSchema);
 			const issues = outcome.kind === 'invalid' ? outcome.issues : [];
--- a/packages/settings/parse-settings.ts
+++ b/packages/settings/parse-settings.ts
@@ -6,11 +6,11 @@
 import type {SettingsOutcome} from './settings-outcome.ts';
 
 /**
- * Parses settings in YAML and checks them against a schema.
+ * Parses settings in YAML and validates them against a schema.
  *
  * @param text The YAML text.
- * @param schema The schema; unknown names are errors.
- * @returns The settings, or every fault with line, path, what was found and what is allowed.
+ * @param schema The schema of the settings; a strict object rejects unknown names.
+ * @returns The settings, or all syntax errors, or all violations of the schema by line. Syntax errors have no path.
  */
 export function parseSettings<Schema extends z.ZodType>(
 	text: string,
@@ -75,7 +75,7 @@
 	return {line: findLine(path, source), path: path.map(String).join('.'), message};
 }
 
-/** Finds the line of a setting, or of the nearest part of its path that is there. */
+/** Finds the line of a setting, or of its nearest ancestor in the document if the setting is missing. */
 function findLine(path: readonly PropertyKey[], {document, lines}: Source): number {
 	for (let {length} = path; length > 0; length--) {
 		const node = document.getIn(path.slice(0, length), true);
--- a/packages/settings/settings-issue.ts
+++ b/packages/settings/settings-issue.ts
@@ -1,9 +1,9 @@
-/** One fault in a settings file. */
+/** An error in a settings file. */
 export type SettingsIssue = {
-	/** Line in the file, from 1. */
+	/** Line in the file, counted from 1. */
 	readonly line: number;
-	/** Path of the setting, such as `listen.hosts`; empty for the whole file. */
+	/** Path of the setting, such as `listen.hosts`; empty for a syntax error or an error of the whole file. */
 	readonly path: string;
-	/** What was found and what is allowed. */
+	/** Value that was found, and what the schema allows. */
 	readonly message: string;
 };
--- a/packages/settings/settings-outcome.ts
+++ b/packages/settings/settings-outcome.ts
@@ -1,6 +1,6 @@
 import type {SettingsIssue} from './settings-issue.ts';
 
-/** The settings, or every fault in them. */
+/** Outcome of parsing a settings file: the settings, or all errors in the file. */
 export type SettingsOutcome<Settings> =
 	| {readonly kind: 'valid'; readonly settings: Settings}
 	| {readonly kind: 'invalid'; readonly issues: readonly SettingsIssue[]};
