--- a/packages/wire/channel-options.ts
+++ b/packages/wire/channel-options.ts
@@ -1,15 +1,15 @@
 import type {Heartbeat} from './heartbeat.ts';
 
-/** How to open a channel, how long to keep it, and what to do at its end. */
+/** Options of `openChannel`. */
 export type ChannelOptions<Request, Response> = {
-	/** Opens the stream. */
+	/** Opens the stream; the signal is aborted when the channel closes. */
 	readonly open: (requests: AsyncIterable<Request>, signal: AbortSignal) => AsyncIterable<Response>;
-	/** Undefined for a channel whose every request has a time limit that closes it. */
+	/** Undefined for a channel on which every request has a timeout that closes the channel. */
 	readonly heartbeat: Heartbeat<Request> | undefined;
-	/** Milliseconds without a request after which the channel is closed; undefined to keep it. */
+	/** Milliseconds without a request after which the channel closes; undefined to keep it open. */
 	readonly idleTimeoutMs: number | undefined;
-	/** Present monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Called once when the channel is closed, by either side. */
+	/** Called once when the channel closes, whichever side closes it. */
 	readonly onClosed: () => void;
 };
--- a/packages/wire/channel.ts
+++ b/packages/wire/channel.ts
@@ -1,9 +1,9 @@
-/** A long-lived stream on which requests are matched with their answers by number. */
+/** A long-lived stream that matches answers to requests by number. */
 export type Channel<Request, Response> = {
 	/**
-	 * Sends a request; resolves to undefined when the channel closes before the answer.
+	 * Sends a request. Resolves to undefined if the channel closes or the signal is aborted before the answer arrives.
 	 *
-	 * An abort of the signal closes the channel when `closesOnAbort` is set, and else only gives up the wait.
+	 * If the signal is aborted, `closesOnAbort` closes the channel; otherwise only this call stops waiting.
 	 */
 	readonly send: (
 		create: (id: number) => Request,
--- a/packages/wire/create-frame-splitter.ts
+++ b/packages/wire/create-frame-splitter.ts
@@ -3,21 +3,23 @@
 import {maxFrameBytes} from './max-frame-bytes.ts';
 
 /**
- * Creates a function that takes pieces of a byte stream and returns the messages of the whole frames in them.
+ * Creates a function that takes the next piece of a byte stream and returns the messages whose frames are complete.
  *
- * A frame is the length of its message in four bytes, the highest first, and the message.
+ * A frame is the length of its message as a 32-bit big-endian integer, followed by the message.
  *
- * @returns Undefined once a frame is longer than a frame may be; the stream cannot be read any further then.
+ * @returns The function. It returns undefined when a message exceeds `maxFrameBytes`; the rest of the stream then cannot
+ * be split.
  *
  * @example
  * const split = createFrameSplitter();
  * split(Buffer.from([0, 0, 0, 1, 65])); // [<Buffer 41>]
  */
 export function createFrameSplitter(): (piece: Buffer) => readonly Buffer[] | undefined {
-	/** Pieces of a frame that is not whole yet, and their length. */
+	/** Received pieces of the incomplete frame. */
 	let pieces: Buffer[] = [];
+	/** Total length of `pieces`. */
 	let length = 0;
-	/** Length at which the frame that has begun is whole, as far as that is known. */
+	/** Bytes to collect before the next attempt to split: a header, or the whole frame once its header is read. */
 	let needed = frameHeaderBytes;
 
 	return piece => {
@@ -29,26 +31,26 @@
 
 		const bytes = pieces.length === 1 ? piece : Buffer.concat(pieces, length);
 		const messages: Buffer[] = [];
-		let at = 0;
+		let offset = 0;
 		needed = frameHeaderBytes;
-		while (bytes.length - at >= frameHeaderBytes) {
-			const messageLength = bytes.readUInt32BE(at);
+		while (bytes.length - offset >= frameHeaderBytes) {
+			const messageLength = bytes.readUInt32BE(offset);
 			if (messageLength > maxFrameBytes) {
 				return undefined;
 			}
 
 			needed = frameHeaderBytes + messageLength;
-			if (bytes.length - at < needed) {
+			if (bytes.length - offset < needed) {
 				break;
 			}
 
-			messages.push(bytes.subarray(at + frameHeaderBytes, at + needed));
-			at += needed;
+			messages.push(bytes.subarray(offset + frameHeaderBytes, offset + needed));
+			offset += needed;
 			needed = frameHeaderBytes;
 		}
 
-		pieces = at < bytes.length ? [bytes.subarray(at)] : [];
-		length = bytes.length - at;
+		pieces = offset < bytes.length ? [bytes.subarray(offset)] : [];
+		length = bytes.length - offset;
 		return messages;
 	};
 }
--- a/packages/wire/create-frame-writer.ts
+++ b/packages/wire/create-frame-writer.ts
@@ -4,9 +4,9 @@
 import type {FrameWriter} from './frame-writer.ts';
 
 /**
- * Creates what writes messages as frames, all of a turn of the loop in one write.
+ * Creates a writer of messages as frames. Messages of the same event loop turn are sent in a single write.
  *
- * @param output Where the bytes go, such as a socket.
+ * @param output Stream that receives the frames, such as a socket.
  */
 export function createFrameWriter(output: Writable): FrameWriter {
 	let messages: Uint8Array[] = [];
@@ -36,11 +36,11 @@
 
 function joinFrames(messages: readonly Uint8Array[], length: number): Buffer {
 	const bytes = Buffer.allocUnsafe(length);
-	let at = 0;
+	let offset = 0;
 	for (const message of messages) {
-		at = bytes.writeUInt32BE(message.length, at);
-		bytes.set(message, at);
-		at += message.length;
+		offset = bytes.writeUInt32BE(message.length, offset);
+		bytes.set(message, offset);
+		offset += message.length;
 	}
 
 	return bytes;
--- a/packages/wire/create-queue.ts
+++ b/packages/wire/create-queue.ts
@@ -1,13 +1,13 @@
-/** An unbounded queue between callbacks and one asynchronous reader. */
+/** An unbounded queue that callbacks write to and one asynchronous reader consumes. */
 type Queue<T> = AsyncIterable<T> & {
-	/** Adds an item; does nothing after the end. */
+	/** Adds an item; does nothing after `end`. */
 	readonly push: (item: T) => void;
-	/** Ends the queue; the reader gets what is left first. */
+	/** Ends the queue; the reader still receives the remaining items. */
 	readonly end: () => void;
 };
 
 /**
- * Creates a queue that turns pushed items into an asynchronous iterable, such as the outgoing side of a stream.
+ * Creates a queue that turns pushed items into an asynchronous iterable, such as the outgoing messages of a stream.
  *
  * @example
  * const queue = createQueue<number>();
--- a/packages/wire/create-token-interceptor.ts
+++ b/packages/wire/create-token-interceptor.ts
@@ -1,6 +1,6 @@
 import type {Interceptor} from '@connectrpc/connect';
 
-/** Creates what shows a token with each call; empty for none. */
+/** Creates an interceptor that sends a bearer token with each call; an empty token is not sent. */
 export function createTokenInterceptor(token: string): Interceptor {
 	return next => async request => {
 		if (token !== '') {
--- a/packages/wire/decode-report.ts
+++ b/packages/wire/decode-report.ts
@@ -9,7 +9,7 @@
 	[RoleMessage.FENCED]: 'fenced',
 };
 
-/** Decodes an instance's report from a message. */
+/** Decodes the report of an instance. An unspecified role counts as fenced, which serves neither reads nor writes. */
 export function decodeReport(report: InstanceReportMessage): InstanceReport {
 	return {
 		instance: report.instance,
--- a/packages/wire/encode-result.ts
+++ b/packages/wire/encode-result.ts
@@ -3,7 +3,7 @@
 import {encodeValue} from './encode-value.ts';
 import {StatementResultSchema, type StatementResult} from './gen/values_pb.ts';
 
-/** Encodes the result of a statement as a message. */
+/** Encodes the result of a SQL statement. */
 export function encodeResult(result: SqlResult): StatementResult {
 	return create(StatementResultSchema, {
 		columns: [...result.columns],
--- a/packages/wire/encode-value.ts
+++ b/packages/wire/encode-value.ts
@@ -2,7 +2,7 @@
 import type {SqlValue} from '@sapphirefall/decisions';
 import {ValueSchema, type Value} from './gen/values_pb.ts';
 
-/** Encodes a SQL value as a message. Whole numbers become integers. */
+/** Encodes a SQL value. A number that is a safe integer becomes an integer, any other number a real. */
 export function encodeValue(value: SqlValue): Value {
 	if (value === null) {
 		return create(ValueSchema, {kind: {case: 'null', value: true}});
--- a/packages/wire/frame-header-bytes.ts
+++ b/packages/wire/frame-header-bytes.ts
@@ -1,2 +1,2 @@
-/** Bytes in front of a frame's message that tell its length. */
+/** Bytes of a frame's header, which contains the length of the message. */
 export const frameHeaderBytes = 4;
--- a/packages/wire/frame-writer.ts
+++ b/packages/wire/frame-writer.ts
@@ -1,7 +1,7 @@
-/** Writes messages as frames; see `createFrameSplitter` for their form. */
+/** Writes messages as frames in the format that `createFrameSplitter` describes. */
 export type FrameWriter = {
-	/** Writes a message; all messages of a turn of the loop go out together. */
+	/** Writes a message. Messages of the same event loop turn are sent together. */
 	readonly write: (message: Uint8Array) => void;
-	/** Bytes that the other side has not taken yet. */
+	/** Returns the number of bytes that are not yet handed to the operating system. */
 	readonly bufferedBytes: () => number;
 };
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -1,8 +1,9 @@
-/** How a channel finds out that it has gone silent. */
+/** Heartbeat by which a channel detects that the other side has stopped answering. */
 export type Heartbeat<Request> = {
+	/** Creates the message of a heartbeat, with its number. */
 	readonly createPing: (id: number) => Request;
-	/** Milliseconds between two heartbeats. */
+	/** Interval between heartbeats. */
 	readonly intervalMs: number;
-	/** Milliseconds without any answer after which the channel counts as silent and is closed. */
+	/** Time without any answer after which the channel closes. */
 	readonly timeoutMs: number;
 };
--- a/packages/wire/max-frame-bytes.ts
+++ b/packages/wire/max-frame-bytes.ts
@@ -1,2 +1,2 @@
-/** Bytes of a frame's message at most; a configuration of many workspaces takes a few hundred thousand. */
+/** Maximum bytes of a message in a frame. A configuration of many workspaces takes a few hundred thousand bytes. */
 export const maxFrameBytes = 8 * 1024 * 1024;
--- a/packages/wire/open-channel.ts
+++ b/packages/wire/open-channel.ts
@@ -4,17 +4,18 @@
 import type {Heartbeat} from './heartbeat.ts';
 
 /**
- * Opens a channel. An answer that nobody awaits any more is dropped, and a channel that goes silent is closed.
+ * Opens a channel on a stream. Answers to requests that are no longer pending are dropped.
  *
- * @param options How to open the stream, heartbeat times, the clock, and what to do at the end.
+ * The channel closes when the stream ends or fails, when no answer arrives within the heartbeat's timeout, and when no
+ * request is pending and none was sent within the idle timeout.
  */
 export function openChannel<Request, Response extends {readonly id: number}>(options: ChannelOptions<Request, Response>): Channel<Request, Response> {
 	const requests = createQueue<Request>();
 	const pending = new Map<number, (response: Response | undefined) => void>();
 	const abort = new AbortController();
 	let lastId = 0;
-	let heardAt = options.now();
-	let sentAt = options.now();
+	let lastAnswerAt = options.now();
+	let lastRequestAt = options.now();
 	let isClosed = false;
 
 	const close = () => {
@@ -35,8 +36,8 @@
 		options.onClosed();
 	};
 
-	const beat = ({createPing, timeoutMs}: Heartbeat<Request>) => {
-		if (options.now() - heardAt > timeoutMs) {
+	const sendHeartbeat = ({createPing, timeoutMs}: Heartbeat<Request>) => {
+		if (options.now() - lastAnswerAt > timeoutMs) {
 			close();
 		} else {
 			lastId++;
@@ -45,11 +46,11 @@
 	};
 
 	const {heartbeat, idleTimeoutMs} = options;
-	const heartbeatTimer = heartbeat && setInterval(beat, heartbeat.intervalMs, heartbeat);
+	const heartbeatTimer = heartbeat && setInterval(sendHeartbeat, heartbeat.intervalMs, heartbeat);
 	const idleTimer = idleTimeoutMs === undefined
 		? undefined
 		: setInterval(() => {
-			if (pending.size === 0 && options.now() - sentAt > idleTimeoutMs) {
+			if (pending.size === 0 && options.now() - lastRequestAt > idleTimeoutMs) {
 				close();
 			}
 		}, idleTimeoutMs);
@@ -57,12 +58,12 @@
 	const receive = async () => {
 		try {
 			for await (const response of options.open(requests, abort.signal)) {
-				heardAt = options.now();
+				lastAnswerAt = options.now();
 				pending.get(response.id)?.(response);
 				pending.delete(response.id);
 			}
 		} catch {
-			// The channel is closed below, which tells all who wait.
+			// Closing the channel below resolves all pending requests.
 		} finally {
 			close();
 		}
@@ -80,7 +81,7 @@
 			}
 
 			lastId++;
-			sentAt = options.now();
+			lastRequestAt = options.now();
 			const id = lastId;
 			return new Promise(resolve => {
 				const cancel = () => {
--- a/packages/wire/parse-results.ts
+++ b/packages/wire/parse-results.ts
@@ -4,9 +4,9 @@
 import {DoneSchema} from './gen/caller_pb.ts';
 
 /**
- * Parses results from the text of an idempotency record.
+ * Parses the text of an idempotency record, as written by `formatResults`.
  *
- * @throws {Error} When the text is not such a record.
+ * @throws {Error} If the text is not a `Done` message in JSON.
  */
 export function parseResults(text: string): readonly SqlResult[] {
 	return fromJsonString(DoneSchema, text).results.map(result => decodeResult(result));
--- a/packages/wire/read-frames.ts
+++ b/packages/wire/read-frames.ts
@@ -3,19 +3,19 @@
 import {createFrameSplitter} from './create-frame-splitter.ts';
 
 type Options = {
-	/** Takes a message; throws when it cannot be read. */
+	/** Handles a message; throws if the message is invalid. */
 	readonly onMessage: (message: Uint8Array) => void;
-	/** Called with what is wrong with the stream, which must not be read any further. */
+	/** Called with the cause of an error, after which the stream must not be read any further. */
 	readonly onError: (reason: string) => void;
 };
 
-/** Reads the messages of a stream of frames, such as a socket; see `createFrameSplitter`. */
+/** Reads messages from a stream of frames, such as a socket, in the format that `createFrameSplitter` describes. */
 export function readFrames(input: Readable, {onMessage, onError}: Options): void {
 	const split = createFrameSplitter();
 	input.on('data', (piece: Buffer) => {
 		const messages = split(piece);
 		if (messages === undefined) {
-			onError('a message is too long');
+			onError('a message exceeds the maximum frame size');
 			return;
 		}
 
--- a/packages/wire/run-with-timeout.ts
+++ b/packages/wire/run-with-timeout.ts
@@ -1,14 +1,14 @@
 /**
- * Runs a task with a signal that is aborted after a time, and not at all when the task ends before.
+ * Runs a task with a signal that is aborted after a timeout. The signal is not aborted once the task has ended.
  *
- * @param timeout Milliseconds.
- * @param task What to run.
+ * @param timeoutMs Milliseconds until the signal is aborted.
+ * @param task The task to run.
  */
-export async function runWithTimeout<T>(timeout: number, task: (signal: AbortSignal) => Promise<T>): Promise<T> {
+export async function runWithTimeout<T>(timeoutMs: number, task: (signal: AbortSignal) => Promise<T>): Promise<T> {
 	const controller = new AbortController();
 	const timer = setTimeout(() => {
 		controller.abort();
-	}, timeout);
+	}, timeoutMs);
 	try {
 		return await task(controller.signal);
 	} finally {
--- a/packages/wire/serve-messages.ts
+++ b/packages/wire/serve-messages.ts
@@ -1,10 +1,10 @@
 import {createQueue} from './create-queue.ts';
 
 /**
- * Serves the messages of a stream; each answer goes out when it is ready, and a slow one delays no other.
+ * Answers the messages of a stream concurrently. Each response is sent when it is ready, so a slow one delays no other.
  *
- * @param messages What the other side sends.
- * @param answer What answers a message; must not reject.
+ * @param messages Incoming messages.
+ * @param answer Answers a message; must not reject.
  */
 export async function * serveMessages<Request, Response>(
 	messages: AsyncIterable<Request>,
