--- a/packages/callers/create-caller-handler.test.ts
+++ b/packages/callers/create-caller-handler.test.ts
@@ -11,7 +11,7 @@
 import {createCallerHandler} from './create-caller-handler.ts';
 
 const path = '/sapphirefall.v1.CallerService/Execute';
-const largest = 2000;
+const maxRequestBytes = 2000;
 
 async function * createRequests(ids: readonly string[]): AsyncGenerator<ExecuteRequest> {
 	for (const requestId of ids) {
@@ -29,8 +29,8 @@
 				seen.handled.push(request);
 				return {answer: createRefusal(resultCodes.keyUnknown, {reason: 'the key was withdrawn or never given'}), session: ''};
 			},
-			maxRequestBytes: largest,
-			createRequestId: () => 'made-up',
+			maxRequestBytes,
+			createRequestId: () => 'generated',
 		}));
 		await new Promise<void>(resolve => {
 			server.listen(0, '127.0.0.1', resolve);
@@ -48,12 +48,12 @@
 	});
 
 	const cases: ReadonlyArray<readonly [string, string, number, number]> = [
-		['text that is no JSON', '{"database":', resultCodes.malformed, 0],
+		['text that is not JSON', '{"database":', resultCodes.malformed, 0],
 		['an unknown field', '{"colour":"red"}', resultCodes.malformed, 0],
 		['a field of the wrong type', '{"statements":"SELECT 1"}', resultCodes.malformed, 0],
 		['a number that is out of range', '{"deadlineMs":-1}', resultCodes.malformed, 0],
-		['a request that is too large', JSON.stringify({database: 'x'.repeat(largest)}), resultCodes.tooLarge, 0],
-		['a request that is well formed', '{"database":"pondbook","read":{"freshness":"latest"}}', resultCodes.keyUnknown, 1],
+		['a request that is too large', JSON.stringify({database: 'x'.repeat(maxRequestBytes)}), resultCodes.tooLarge, 0],
+		['a valid request', '{"database":"pondbook","read":{"freshness":"latest"}}', resultCodes.keyUnknown, 1],
 	];
 	for (const [title, body, code, count] of cases) {
 		it(`answers ${title} as not run with code ${code}`, async () => {
@@ -66,19 +66,19 @@
 		});
 	}
 
-	it('answers the requests of a stream by their identifiers, a slow one after a quick one, also beside one that fails', async () => {
+	it('answers the requests of a stream by their identifiers, fast ones before slow ones, even if another one fails', async () => {
 		const answered: string[] = [];
 		const streams = createServer2(createCallerHandler({
 			async handle(request) {
 				await sleep(request.requestId === 'slow' ? 100 : 0);
 				if (request.requestId === 'broken') {
-					throw new Error('a fault of the host');
+					throw new Error('the host failed');
 				}
 
 				return {answer: createRefusal(resultCodes.keyUnknown, {reason: request.requestId}), session: ''};
 			},
-			maxRequestBytes: largest,
-			createRequestId: () => 'made-up',
+			maxRequestBytes,
+			createRequestId: () => 'generated',
 		}));
 		await new Promise<void>(resolve => {
 			streams.listen(0, '127.0.0.1', resolve);
@@ -101,7 +101,7 @@
 		streams.close();
 	});
 
-	it('passes on a digest in place of the key', async () => {
+	it('passes on a digest instead of the key', async () => {
 		await fetch(`${seen.url}${path}`, {method: 'POST', body: '{}', headers: {'content-type': 'application/json', authorization: 'Bearer Secret-Key'}});
 		expect(JSON.stringify(seen.handled)).to.not.include('Secret-Key');
 		expect(seen.handled[0]?.keyDigest).to.match(/^[0-9a-f]{64}$/v);
--- a/packages/callers/create-caller-handler.ts
+++ b/packages/callers/create-caller-handler.ts
@@ -12,17 +12,18 @@
 import {decodeRequest} from './decode-request.ts';
 import {encodeAnswer} from './encode-answer.ts';
 
-type Handled = {
+type HandledRequest = {
 	readonly answer: Answer;
-	/** The session token to hand out; empty for none. */
+	/** Session token for the caller; empty for none. */
 	readonly session: string;
 };
 
 type Options = {
-	readonly handle: (request: Request) => Promise<Handled>;
-	/** Bytes of the largest request. */
+	/** Runs a request. */
+	readonly handle: (request: Request) => Promise<HandledRequest>;
+	/** Maximum bytes of a request. */
 	readonly maxRequestBytes: number;
-	/** Creates an identifier for a request that has none. */
+	/** Creates an identifier for a request without one. */
 	readonly createRequestId: () => string;
 };
 
@@ -34,24 +35,22 @@
 const httpBadRequest = 400;
 
 /**
- * Creates the HTTP handler that callers speak to: Connect, gRPC, or plain JSON.
+ * Creates the HTTP handler for callers, which accepts Connect, gRPC and JSON.
  *
- * A request that cannot be decoded is answered as "not run" with its code, like any other refusal.
- *
- * @param options What runs a request, and the limits.
+ * A request in JSON that cannot be decoded is answered as "not run" with a result code, like any other refusal.
  */
 export function createCallerHandler(options: Options): (request: NodeRequest, response: NodeResponse) => void {
-	const answerOne = async (message: ExecuteRequest, context: HandlerContext): Promise<ExecuteResponse> => {
+	const answerRequest = async (message: ExecuteRequest, context: HandlerContext): Promise<ExecuteResponse> => {
 		const authorization = context.requestHeader.get('authorization') ?? '';
 		const request = decodeRequest(message, {authorization, fallbackId: options.createRequestId()});
 		const {answer, session} = await options.handle(request);
 		return encodeAnswer(answer, {requestId: request.requestId, session});
 	};
 
-	/** Answers a request of a stream; one that fails harms no other. */
-	const answerSafely = async (message: ExecuteRequest, context: HandlerContext): Promise<ExecuteResponse> => {
+	/** Answers a request of a stream. An error becomes an answer, so that it does not end the stream for other requests. */
+	const answerStreamRequest = async (message: ExecuteRequest, context: HandlerContext): Promise<ExecuteResponse> => {
 		try {
-			return await answerOne(message, context);
+			return await answerRequest(message, context);
 		} catch {
 			return encodeAnswer(createFailure(), {requestId: message.requestId, session: ''});
 		}
@@ -59,9 +58,9 @@
 
 	const router = createConnectRouter({readMaxBytes: options.maxRequestBytes, jsonOptions: {ignoreUnknownFields: false}});
 	router.service(CallerService, {
-		execute: answerOne,
+		execute: answerRequest,
 		async * converse(messages, context) {
-			yield * serveMessages(messages, async message => answerSafely(message, context));
+			yield * serveMessages(messages, async message => answerStreamRequest(message, context));
 		},
 	});
 	const handlers = new Map(router.handlers.map(handler => [handler.requestPath, handler]));
@@ -79,7 +78,7 @@
 		const isJson = (request.headers['content-type'] ?? '').startsWith('application/json');
 		if (result.status >= httpBadRequest && isJson) {
 			response.writeHead(result.status, jsonHeaders);
-			response.end(`${formatUndecodable(result.status, options.maxRequestBytes)}\n`);
+			response.end(`${formatRejection(result.status, options.maxRequestBytes)}\n`);
 			return;
 		}
 
@@ -93,11 +92,11 @@
 	};
 }
 
-/** Formats the answer to a request that could not be decoded. */
-function formatUndecodable(status: number, largest: number): string {
+/** Formats the answer to a request that the router rejected. The router reports a request that is too large as 429. */
+function formatRejection(status: number, maxRequestBytes: number): string {
 	const httpTooManyRequests = 429;
 	const refusal = status === httpTooManyRequests
-		? createRefusal(resultCodes.tooLarge, {reason: `the request is larger than the ${largest} bytes allowed`})
+		? createRefusal(resultCodes.tooLarge, {reason: `the request is larger than the ${maxRequestBytes} bytes allowed`})
 		: createRefusal(resultCodes.malformed, {reason: 'the request is not a valid ExecuteRequest in JSON'});
 	return JSON.stringify(toJson(ExecuteResponseSchema, encodeAnswer(refusal, {requestId: '', session: ''})));
 }
--- a/packages/callers/create-session-codec.ts
+++ b/packages/callers/create-session-codec.ts
@@ -6,11 +6,11 @@
 const schema = z.tuple([z.string(), z.string(), z.number(), z.string().regex(/^\d{1,20}$/v)]);
 
 /**
- * Creates a codec for session tokens: a claim and its HMAC-SHA-256, both in base64url.
+ * Creates a codec for session tokens. A token consists of a claim and its HMAC-SHA-256, both in base64url.
  *
- * The token travels with the caller, so hosts share no session state.
+ * The caller keeps the token and sends it with each request, so hosts share no session state.
  *
- * @param secret The fleet's secret.
+ * @param secret Secret that all hosts of the fleet share.
  */
 export function createSessionCodec(secret: string): SessionCodec {
 	const sign = (body: string) => createHmac('sha256', secret).update(body).digest();
--- a/packages/callers/decode-request.ts
+++ b/packages/callers/decode-request.ts
@@ -5,10 +5,10 @@
 const bearer = /^Bearer (?<key>\S+)$/iv;
 
 /**
- * Decodes a caller's request. The key is replaced by its digest here and goes no further.
+ * Decodes a caller's request. The result contains the digest of the key instead of the key.
  *
- * @param message The request as it came.
- * @param options The Authorization header, and an identifier for a request that has none.
+ * @param message The request.
+ * @param options The Authorization header, and the identifier to use if the request has none.
  */
 export function decodeRequest(
 	message: ExecuteRequest,
@@ -27,7 +27,7 @@
 	};
 }
 
-/** A request that names no kind is a read, which can do no harm. */
+/** Decodes the kind of a request. A request without a kind is a read, since a read changes nothing. */
 function decodeKind(kind: ExecuteRequest['kind']): Request['kind'] {
 	return kind.case === 'write'
 		? {kind: 'write', idempotencyKey: kind.value.idempotencyKey, isRepeatable: kind.value.repeatable}
--- a/packages/callers/encode-answer.ts
+++ b/packages/callers/encode-answer.ts
@@ -6,7 +6,7 @@
  * Encodes an answer for a caller.
  *
  * @param answer The answer.
- * @param options The request's identifier and the session token to hand out; empty for none.
+ * @param options The request's identifier, and the session token for the caller, which is empty for none.
  */
 export function encodeAnswer(
 	answer: Answer,
--- a/packages/callers/session-codec.ts
+++ b/packages/callers/session-codec.ts
@@ -1,8 +1,8 @@
 import type {SessionClaim} from '@sapphirefall/decisions';
 
-/** Writes and reads session tokens. */
+/** Encodes and decodes session tokens. */
 export type SessionCodec = {
 	readonly encode: (claim: SessionClaim) => string;
-	/** Undefined when the token is not one of this fleet's. */
+	/** Returns undefined if the token was not issued by this fleet. */
 	readonly decode: (token: string) => SessionClaim | undefined;
 };
