--- a/packages/settings/list-settings.test.ts
+++ b/packages/settings/list-settings.test.ts
@@ -9,9 +9,9 @@
 
 const intro = `# Settings
 
-Settings of an entry host are a YAML file; \`sapphirefall check FILE\` reports every fault in it
-with its line. Unknown names are errors. A setting without a default is required, but for \`listen.streams\`.
-Times are milliseconds. Samples for today's deployments are in \`settings-samples/\`.
+The settings of an entry host are a YAML file; \`sapphirefall check FILE\` reports every error in it
+with its line. Unknown names are errors. A setting without a default is required, except for \`listen.streams\`.
+Times are in milliseconds. Samples for the current deployments are in \`settings-samples/\`.
 
 | setting | default | unit and meaning |
 | --- | --- | --- |
