--- a/packages/settings/host-schema.ts
+++ b/packages/settings/host-schema.ts
@@ -38,7 +38,7 @@
 	}).prefault({}),
 	keys: z.strictObject({
 		staleAfter: milliseconds(4000, 'Time since the configuration was last confirmed to be the newest after which requests with a key are refused.'),
-		wordSpan: milliseconds(900_000, 'Time since the platform\'s table last confirmed the configuration to an acceptor after which the acceptor no longer confirms to other hosts that it is the newest.'),
+		wordSpan: milliseconds(900_000, 'Time since the platform\'s table last confirmed the configuration to an acceptor after which the acceptor stops confirming it to other hosts.'),
 	}).prefault({}),
 	rate: z.strictObject({
 		reserve: z.number().min(0).max(1).default(0.2).describe('Share of each rate and burst that is reserved and split evenly over the hosts; the workspace\'s home host lends the rest.'),
