--- a/packages/wire/frame-header-length.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Bytes in front of a frame's message that tell its length. */
-export const frameHeaderLength = 4;
