--- a/packages/hosts/handed-bucket.ts
+++ b/packages/hosts/bucket-handover.ts
@@ -1,5 +1,5 @@
 /** A workspace's bucket on its way to its new home. The old home has stopped lending from it. */
-export type HandedBucket = {
+export type BucketHandover = {
 	readonly workspace: string;
 	/** Version of the roster that makes the receiver the home. */
 	readonly head: number;
@@ -9,6 +9,6 @@
 		readonly id: number;
 		readonly units: number;
 		/** Milliseconds until the loan is taken for used up. */
-		readonly left: number;
+		readonly remainingMs: number;
 	}>;
 };
--- a/packages/hosts/create-host-service.ts
+++ b/packages/hosts/create-host-service.ts
@@ -9,9 +9,9 @@
 import {executeForward} from './execute-forward.ts';
 import {decodeExchange} from './decode-exchange.ts';
 import {encodeExchange} from './encode-exchange.ts';
-import type {BorrowAsked} from './borrow-asked.ts';
-import type {BorrowGranted} from './borrow-granted.ts';
-import type {HandedBucket} from './handed-bucket.ts';
+import type {LoanRequest} from './loan-request.ts';
+import type {LoanGrant} from './loan-grant.ts';
+import type {BucketHandover} from './bucket-handover.ts';
 import type {ExchangeContent} from './exchange-content.ts';
 
 type Options = {
@@ -25,11 +25,11 @@
 	/** Present monotonic milliseconds. */
 	readonly now: () => number;
 	/** Lends units; undefined when this host is not the workspace's home. */
-	readonly lend: (asked: BorrowAsked) => BorrowGranted | undefined;
+	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
 	/** Keeps a part of a workspace's bucket as its standby. */
 	readonly stand: (workspace: string) => void;
 	/** Takes a bucket over; false when this host does not know that it is the home. */
-	readonly takeOver: (bucket: HandedBucket) => boolean;
+	readonly takeOver: (bucket: BucketHandover) => boolean;
 	/** Commits a change that another host passed on. */
 	readonly takeChange: (change: ChangeRequest) => Promise<MessageInitShape<typeof ChangeResponseSchema>>;
 };
@@ -78,7 +78,7 @@
 
 		case 'handOver': {
 			const {loans, ...bucket} = call.value;
-			const taken = options.takeOver({...bucket, loans: loans.map(({leftMs, ...loan}) => ({...loan, left: leftMs}))});
+			const taken = options.takeOver({...bucket, loans: loans.map(({leftMs, ...loan}) => ({...loan, remainingMs: leftMs}))});
 			return {case: call.case, value: {taken}};
 		}
 
@@ -97,6 +97,6 @@
 	return granted === undefined
 		? {home: false}
 		: {
-			home: true, units: granted.units, spanMs: granted.span, retryAfterMs: granted.retryAfter,
+			home: true, units: granted.units, spanMs: granted.validMs, retryAfterMs: granted.retryAfter,
 		};
 }
--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -68,13 +68,13 @@
 			const {
 				home, units, spanMs, retryAfterMs,
 			} = await send({case: 'borrow', value});
-			return home ? {units, span: spanMs, retryAfter: retryAfterMs} : undefined;
+			return home ? {units, validMs: spanMs, retryAfter: retryAfterMs} : undefined;
 		},
 		async stand(workspace) {
 			await send({case: 'stand', value: create(StandRequestSchema, {workspace})});
 		},
 		async handOver(bucket) {
-			const loans = bucket.loans.map(({left, ...loan}) => ({...loan, leftMs: Math.ceil(left)}));
+			const loans = bucket.loans.map(({remainingMs, ...loan}) => ({...loan, leftMs: Math.ceil(remainingMs)}));
 			const {taken} = await send({case: 'handOver', value: create(HandOverRequestSchema, {...bucket, loans})});
 			return taken;
 		},
--- a/packages/hosts/borrow-granted.ts
+++ b/packages/hosts/loan-grant.ts
@@ -1,8 +1,8 @@
 /** What a workspace's home lends. */
-export type BorrowGranted = {
+export type LoanGrant = {
 	readonly units: number;
 	/** Milliseconds, counted from when the borrower asked, for which the units may be used. */
-	readonly span: number;
+	readonly validMs: number;
 	/** Milliseconds until the needed units would be there; 0 when all was lent. */
 	readonly retryAfter: number;
 };
--- a/packages/hosts/borrow-asked.ts
+++ b/packages/hosts/loan-request.ts
@@ -1,5 +1,5 @@
 /** What a host asks a workspace's home for. */
-export type BorrowAsked = {
+export type LoanRequest = {
 	/** Process that borrows; another one after a restart. */
 	readonly host: string;
 	/** Number that the borrower gives the loan. */
--- a/packages/hosts/mod.ts
+++ b/packages/hosts/mod.ts
@@ -1,6 +1,5 @@
 /** Other entry hosts as a peer: exchange, confirmation and forwarding. */
-export type * from './borrow-asked.ts';
-export type * from './borrow-granted.ts';
+export type * from './bucket-handover.ts';
 export * from './create-fleet-peer.ts';
 export * from './create-forwarder.ts';
 export * from './create-host-channel.ts';
@@ -14,6 +13,7 @@
 export * from './encode-forward.ts';
 export type * from './exchange-content.ts';
 export * from './execute-forward.ts';
-export type * from './handed-bucket.ts';
+export type * from './loan-grant.ts';
+export type * from './loan-request.ts';
 export type * from './peer.ts';
 export * from './serve-fleet.ts';
--- a/packages/proxy/bucket-homes.ts
+++ b/packages/proxy/bucket-homes.ts
@@ -1,5 +1,5 @@
 import type {Roster} from '@sapphirefall/decisions';
-import type {BorrowAsked, BorrowGranted, HandedBucket} from '@sapphirefall/hosts';
+import type {LoanRequest, LoanGrant, BucketHandover} from '@sapphirefall/hosts';
 
 /** Keeps the buckets of the workspaces whose home this host is. */
 export type BucketHomes = {
@@ -12,7 +12,7 @@
 	 */
 	readonly followRoster: (before: Roster, after: Roster) => void;
 	/** Takes a bucket over; false when this host does not know that it is the home. */
-	readonly takeOver: (bucket: HandedBucket) => boolean;
+	readonly takeOver: (bucket: BucketHandover) => boolean;
 	/** Lends units of a workspace whose home this host is; undefined when it is not. */
-	readonly lend: (asked: BorrowAsked) => BorrowGranted | undefined;
+	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
 };
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -2,7 +2,7 @@
 	addLoan, createLoanAccount, findHome, findStandby, isRosterProven, settleLoanAccount, spendUnits,
 	type AdmittedRequest, type HostState, type LoanAccount,
 } from '@sapphirefall/decisions';
-import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
+import type {LoanRequest, LoanGrant} from '@sapphirefall/hosts';
 import type {Metrics} from '@sapphirefall/operators';
 import type {HostFile} from '@sapphirefall/settings';
 import type {Borrowed} from './borrowed.ts';
@@ -29,7 +29,7 @@
 /** Milliseconds before the next request to a standby that had nothing to lend. */
 const standbyRetry = 250;
 
-type Asked = Omit<BorrowAsked, 'host' | 'isStandby'>;
+type Asked = Omit<LoanRequest, 'host' | 'isStandby'>;
 
 const unreached: Borrowed = {isReached: false, retryAfter: homeRetry};
 
@@ -50,7 +50,7 @@
 	const readPurse = (workspace: string) => purses.get(workspace) ?? createLoanAccount(now());
 
 	/** Asks a host for units, and puts them into the purse; undefined when it does not answer or does not lend. */
-	const askLender = async (lender: string | undefined, asked: Asked): Promise<BorrowGranted | undefined> => {
+	const askLender = async (lender: string | undefined, asked: Asked): Promise<LoanGrant | undefined> => {
 		const askedAt = now();
 		const isAlive = options.readState().membership.members.get(lender ?? '')?.isAlive ?? true;
 		if (lender === undefined || !isAlive) {
@@ -61,7 +61,7 @@
 		try {
 			const request = {...asked, host: options.owner, isStandby: false};
 			const granted = lender === self ? options.lend(request) : await options.findPeer(lender)?.borrow(request);
-			const loan = {id: asked.id, units: granted?.units ?? 0, expiresAt: askedAt + (granted?.span ?? 0)};
+			const loan = {id: asked.id, units: granted?.units ?? 0, expiresAt: askedAt + (granted?.validMs ?? 0)};
 			purses.set(asked.workspace, addLoan(readPurse(asked.workspace), loan));
 			return granted;
 		} catch {
--- a/packages/proxy/create-bucket-homes.test.ts
+++ b/packages/proxy/create-bucket-homes.test.ts
@@ -70,7 +70,7 @@
 		const ask = (id: number, settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>) => homes.lend({
 			host: 'b/standby', id, workspace: 'upper', needed: 0, wanted: 0, settled, isStandby: true,
 		});
-		expect(ask(1, [])).to.deep.equal({units: 25, span: 4000, retryAfter: 0});
+		expect(ask(1, [])).to.deep.equal({units: 25, validMs: 4000, retryAfter: 0});
 		expect(ask(2, [{id: 1, used: 0, returned: 25}])?.units).to.equal(25);
 	});
 
--- a/packages/proxy/create-bucket-homes.ts
+++ b/packages/proxy/create-bucket-homes.ts
@@ -2,7 +2,7 @@
 import {
 	findHome, findStandby, isRosterProven, lendUnits, type HomeBucket, type HostState,
 } from '@sapphirefall/decisions';
-import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
+import type {LoanRequest, LoanGrant} from '@sapphirefall/hosts';
 import type {HostFile} from '@sapphirefall/settings';
 import type {BucketHomes} from './bucket-homes.ts';
 import {driftMargin} from './drift-margin.ts';
@@ -88,7 +88,7 @@
 		}
 	};
 
-	const lend = (asked: BorrowAsked): BorrowGranted | undefined => {
+	const lend = (asked: LoanRequest): LoanGrant | undefined => {
 		const home = findOwnHome(asked.workspace);
 		if (home === undefined) {
 			return undefined;
@@ -113,7 +113,7 @@
 			void askStandby(asked.workspace, home);
 		}
 
-		return {units: lent.units, span, retryAfter: lent.retryAfter};
+		return {units: lent.units, validMs: span, retryAfter: lent.retryAfter};
 	};
 
 	/** Hands a bucket over to its new home; gives up after a while, and the new home waits the loans out. */
@@ -121,7 +121,7 @@
 		const givenUpAt = now() + settings.proofLimit;
 		while (now() < givenUpAt) {
 			const {roster} = options.readState();
-			const loans = bucket.loans.map(({expiresAt, ...loan}) => ({...loan, left: Math.max(0, expiresAt - now())}));
+			const loans = bucket.loans.map(({expiresAt, ...loan}) => ({...loan, remainingMs: Math.max(0, expiresAt - now())}));
 			try {
 				const peer = options.findPeer(findHome(workspace, roster.homes) ?? '');
 				// eslint-disable-next-line no-await-in-loop -- attempts follow each other
@@ -168,7 +168,7 @@
 				return true;
 			}
 
-			const taken = loans.map(({left, ...loan}) => ({...loan, expiresAt: at + left}));
+			const taken = loans.map(({remainingMs, ...loan}) => ({...loan, expiresAt: at + remainingMs}));
 			homes.set(workspace, {since: at, stoodAt: -Infinity, bucket: {level, refilledAt: at, loans: taken}});
 			return true;
 		},
--- a/packages/proxy/create-standby-stocks.ts
+++ b/packages/proxy/create-standby-stocks.ts
@@ -42,7 +42,7 @@
 				host: `${options.owner}/standby`, id, workspace, needed: 0, wanted: 0, isStandby: true, settled,
 			});
 			if (granted !== undefined) {
-				stocks.set(workspace, {id, units: granted.units, expiresAt: askedAt + granted.span});
+				stocks.set(workspace, {id, units: granted.units, expiresAt: askedAt + granted.validMs});
 			}
 		} catch {
 			// What was given back is lost, and the home asks again if it lives.
@@ -63,7 +63,7 @@
 				...asked, longestSpan: settings.loanSpan, driftMargin, now: now(),
 			});
 			stocks.set(asked.workspace, lent.loan);
-			return {units: lent.units, span: lent.span, retryAfter: lent.units > 0 ? 0 : emptyRetry};
+			return {units: lent.units, validMs: lent.span, retryAfter: lent.units > 0 ? 0 : emptyRetry};
 		},
 	};
 }
--- a/packages/proxy/running-host.ts
+++ b/packages/proxy/running-host.ts
@@ -1,7 +1,7 @@
 import type {AdmittedRequest, Answer, Request} from '@sapphirefall/decisions';
 import type {HybridClock} from '@sapphirefall/events';
 import type {
-	BorrowAsked, BorrowGranted, ExchangeContent, HandedBucket,
+	LoanRequest, LoanGrant, ExchangeContent, BucketHandover,
 } from '@sapphirefall/hosts';
 import type {OperatorBackend} from '@sapphirefall/operators';
 import type {ChangeBackend} from './change-backend.ts';
@@ -19,11 +19,11 @@
 	/** Present monotonic milliseconds. */
 	readonly now: () => number;
 	/** Lends units of a workspace; undefined when this host is neither its home nor a standby that holds a part. */
-	readonly lend: (asked: BorrowAsked) => BorrowGranted | undefined;
+	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
 	/** Keeps a part of a workspace's bucket as the standby of its home. */
 	readonly stand: (workspace: string) => void;
 	/** Takes the bucket of a workspace over; false when this host does not know that it is its home. */
-	readonly takeOver: (bucket: HandedBucket) => boolean;
+	readonly takeOver: (bucket: BucketHandover) => boolean;
 	/** Commits a change that another host passed on. */
 	readonly takeChange: ChangeBackend['takeChange'];
 	/** Stops taking requests, and resolves when those that run have ended. */
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -6,7 +6,7 @@
 import {createMetrics} from '@sapphirefall/operators';
 import {createPlatformClient} from '@sapphirefall/platform';
 import type {HostFile} from '@sapphirefall/settings';
-import type {BorrowAsked} from '@sapphirefall/hosts';
+import type {LoanRequest} from '@sapphirefall/hosts';
 import {createBorrower} from './create-borrower.ts';
 import {createBucketHomes} from './create-bucket-homes.ts';
 import {createChangeBackend} from './create-change-backend.ts';
@@ -165,7 +165,7 @@
 	const stocks = createStandbyStocks({
 		owner, settings: settings.rate, readState, findPeer, now,
 	});
-	const lend = (asked: BorrowAsked) => {
+	const lend = (asked: LoanRequest) => {
 		const granted = homes.lend(asked);
 		return (granted?.units ?? 0) > 0 ? granted : stocks.lend(asked) ?? granted;
 	};
