--- a/bench/measure-decisions.ts
+++ b/bench/measure-decisions.ts
@@ -63,14 +63,14 @@
 	return toBinary(ExchangeMessageSchema, encodeExchange({
 		id: state.membership.self,
 		incarnation: state.membership.incarnation,
-		version: 1,
+		configurationVersion: 1,
 		head: 1,
-		age: 100,
-		fleet: '',
-		statements: zones.map(zone => ({id: `host-${zone}`, age: 100})),
-		digest: hashPrimaries(listPrimaries(state)),
+		tableAgeMs: 100,
+		configurationText: '',
+		confirmations: zones.map(zone => ({id: `host-${zone}`, ageMs: 100})),
+		primariesDigest: hashPrimaries(listPrimaries(state)),
 		primaries: [],
-		news: [{id: state.membership.self, incarnation: 1, isAlive: true}],
+		memberUpdates: [{id: state.membership.self, incarnation: 1, isAlive: true}],
 		time: 1_000_000_000_000_000_000n,
 	})).length;
 }
--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -70,7 +70,7 @@
 			} = await send({case: 'borrow', value});
 			return home ? {units, validMs: spanMs, retryAfter: retryAfterMs} : undefined;
 		},
-		async stand(workspace) {
+		async requestStandby(workspace) {
 			await send({case: 'stand', value: create(StandRequestSchema, {workspace})});
 		},
 		async handOver(bucket) {
--- a/packages/hosts/decode-exchange.ts
+++ b/packages/hosts/decode-exchange.ts
@@ -6,14 +6,14 @@
 	return {
 		id: message.host,
 		incarnation: Number(message.incarnation),
-		version: message.configVersion,
-		age: message.configAgeMs,
-		fleet: message.configBody,
+		configurationVersion: message.configVersion,
+		tableAgeMs: message.configAgeMs,
+		configurationText: message.configBody,
 		head: message.head,
-		statements: message.statements.map(({host, ageMs}) => ({id: host, age: ageMs})),
-		digest: message.viewDigest,
+		confirmations: message.statements.map(({host, ageMs}) => ({id: host, ageMs})),
+		primariesDigest: message.viewDigest,
 		primaries: message.views.map(({database, term, instance}) => ({database, term, instance})),
-		news: message.news.map(({host, incarnation, alive}) => ({id: host, incarnation: Number(incarnation), isAlive: alive})),
+		memberUpdates: message.news.map(({host, incarnation, alive}) => ({id: host, incarnation: Number(incarnation), isAlive: alive})),
 		time: message.time,
 	};
 }
--- a/packages/hosts/exchange-content.ts
+++ b/packages/hosts/exchange-content.ts
@@ -4,20 +4,20 @@
 export type ExchangeContent = {
 	readonly id: string;
 	readonly incarnation: number;
-	readonly version: number;
+	readonly configurationVersion: number;
 	/** Version of the table row that holds the configuration's name and the roster. */
 	readonly head: number;
 	/** Age in milliseconds of the proof that the head was the newest. */
-	readonly age: number;
+	readonly tableAgeMs: number;
 	/** Text of configuration and roster; empty when the other side is not known to be behind. */
-	readonly fleet: string;
+	readonly configurationText: string;
 	/** The acceptors' word on the head, by age in milliseconds. */
-	readonly statements: ReadonlyArray<{readonly id: string; readonly age: number}>;
+	readonly confirmations: ReadonlyArray<{readonly id: string; readonly ageMs: number}>;
 	/** Digest over all primaries that are known. */
-	readonly digest: string;
+	readonly primariesDigest: string;
 	/** Empty when the other side's digest is not known to differ. */
 	readonly primaries: readonly GroupPrimary[];
-	readonly news: readonly MemberNews[];
+	readonly memberUpdates: readonly MemberNews[];
 	/** Hybrid logical time. */
 	readonly time: bigint;
 };
--- a/packages/hosts/peer.ts
+++ b/packages/hosts/peer.ts
@@ -11,7 +11,7 @@
 	/** Borrows units of a workspace; undefined when the other host is not its home. */
 	readonly borrow: (asked: LoanRequest) => Promise<LoanGrant | undefined>;
 	/** Asks the other host to keep a part of a workspace's bucket as the standby. */
-	readonly stand: (workspace: string) => Promise<void>;
+	readonly requestStandby: (workspace: string) => Promise<void>;
 	/** Hands a bucket over; false when the other host does not know yet that it is the home. */
 	readonly handOver: (bucket: BucketHandover) => Promise<boolean>;
 	/** Passes an operator's change on to an acceptor. */
--- a/packages/proxy/create-bucket-homes.ts
+++ b/packages/proxy/create-bucket-homes.ts
@@ -82,7 +82,7 @@
 		home.stoodAt = now();
 		const standby = findStandby(workspace, options.readState());
 		try {
-			await options.findPeer(standby ?? '')?.stand(workspace);
+			await options.findPeer(standby ?? '')?.requestStandby(workspace);
 		} catch {
 			// The next loan asks again.
 		}
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -54,14 +54,14 @@
 		return {
 			id: options.self,
 			incarnation: state.membership.incarnation,
-			version: state.configuration.version,
+			configurationVersion: state.configuration.version,
 			head: state.roster.head,
-			age: at - state.provenAt,
-			fleet: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
-			statements: listStatements(state, {span: options.wordSpan, now: at}).map(({id, at: given}) => ({id, age: at - given})),
-			digest,
-			primaries: other !== undefined && other.digest !== digest ? primaries : [],
-			news: listNews(state, at),
+			tableAgeMs: at - state.provenAt,
+			configurationText: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
+			confirmations: listStatements(state, {span: options.wordSpan, now: at}).map(({id, at: given}) => ({id, ageMs: at - given})),
+			primariesDigest: digest,
+			primaries: other !== undefined && other.primariesDigest !== digest ? primaries : [],
+			memberUpdates: listNews(state, at),
 			time: clock.tick(),
 		};
 	};
@@ -73,19 +73,19 @@
 			kind: 'exchanged',
 			id: content.id,
 			incarnation: content.incarnation,
-			version: content.version,
+			version: content.configurationVersion,
 			head: content.head,
-			fleet: content.fleet === '' ? undefined : parseFleet(content.fleet),
-			statements: content.statements.map(({id, age}) => ({id, at: base - age})),
-			provenAt: base - content.age,
+			fleet: content.configurationText === '' ? undefined : parseFleet(content.configurationText),
+			statements: content.confirmations.map(({id, ageMs}) => ({id, at: base - ageMs})),
+			provenAt: base - content.tableAgeMs,
 			primaries: content.primaries,
-			news: content.news,
+			news: content.memberUpdates,
 		});
 	};
 
 	const isLacking = (content: ExchangeContent) => {
 		const state = readState();
-		return content.head < state.roster.head || content.digest !== readPrimaries(state).digest;
+		return content.head < state.roster.head || content.primariesDigest !== readPrimaries(state).digest;
 	};
 
 	return {
