--- a/bench/measure-calls.ts
+++ b/bench/measure-calls.ts
@@ -22,7 +22,7 @@
 	});
 	const {port} = server.address() as AddressInfo;
 	const peer = createFleetPeer({host: '127.0.0.1', port}, {
-		timeout: 1000, idleSpan: 100, now: () => performance.now(), log,
+		timeoutMs: 1000, idleTimeoutMs: 100, now: () => performance.now(), log,
 	});
 	const runCalls = async (count: number) => {
 		await Promise.all(Array.from({length: inFlight}, async () => {
--- a/packages/hosts/create-fleet-peer.ts
+++ b/packages/hosts/create-fleet-peer.ts
@@ -14,9 +14,9 @@
 
 type Options = {
 	/** Milliseconds to wait for an answer. */
-	readonly timeout: number;
+	readonly timeoutMs: number;
 	/** Milliseconds without a call after which the connection is closed. */
-	readonly idleSpan: number;
+	readonly idleTimeoutMs: number;
 	/** Present monotonic milliseconds. */
 	readonly now: () => number;
 	readonly log: SessionLog;
@@ -41,7 +41,7 @@
  * @param address Where the host takes calls.
  */
 export function createFleetPeer(address: {readonly host: string; readonly port: number}, {
-	timeout, idleSpan, now, log,
+	timeoutMs, idleTimeoutMs, now, log,
 }: Options): FleetPeer {
 	const encode = (call: Call) => (id: number) => toBinary(FleetRequestSchema, create(FleetRequestSchema, {id, call}));
 	const encodePing = encode({case: 'ping', value: {}});
@@ -49,7 +49,7 @@
 		connect: () => connect({...address, noDelay: true}),
 		decode: message => fromBinary(FleetResponseSchema, message),
 		encodePing,
-		idleSpan,
+		idleSpan: idleTimeoutMs,
 		now,
 		onBroken(reason) {
 			log.warn({...address, reason}, 'peer: Another host sent an answer that cannot be read; the connection is closed.');
@@ -58,7 +58,7 @@
 
 	/** Sends a call that may wait for some milliseconds at the other host. */
 	const send = async (call: Call, wait = 0) => {
-		const outcome = await channel(encode(call), {timeout: timeout + wait, isWatched: false});
+		const outcome = await channel(encode(call), {timeout: timeoutMs + wait, isWatched: false});
 		return outcome.kind === 'answered' ? outcome.response.answer : undefined;
 	};
 
@@ -90,7 +90,7 @@
 			}
 
 			const {home, shares, spanMs} = answer.value;
-			return home ? {grants: new Map(shares.map(({workspace, rate, units}) => [workspace, {rate, units}])), span: spanMs} : 'notAllocator';
+			return home ? {grants: new Map(shares.map(({workspace, rate, units}) => [workspace, {rate, units}])), spanMs} : 'notAllocator';
 		},
 		async fenceGroup(group, epoch) {
 			const answer = await send({case: 'fenceGroup', value: {group, epoch: BigInt(epoch)}});
--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -12,7 +12,7 @@
 
 type Options = {
 	/** Milliseconds to wait for an answer. */
-	readonly timeout: number;
+	readonly timeoutMs: number;
 	/** Milliseconds between two heartbeats on the channel for requests. */
 	readonly heartbeatInterval: number;
 	/** Milliseconds without any answer after which that channel is replaced. */
@@ -51,7 +51,7 @@
 	});
 
 	/** Makes a call; the answer to it is of the same kind. */
-	const send = async <K extends Kind>(call: Call & {readonly case: K}, timeout = options.timeout): Promise<AnswerValue<K>> => {
+	const send = async <K extends Kind>(call: Call & {readonly case: K}, timeout = options.timeoutMs): Promise<AnswerValue<K>> => {
 		const response = await runWithTimeout(timeout, async signal =>
 			sendControl(id => create(ControlRequestSchema, {id, call}), {signal, closesOnAbort: true}));
 		if (response?.answer.case !== call.case) {
--- a/packages/hosts/serve-fleet.ts
+++ b/packages/hosts/serve-fleet.ts
@@ -78,7 +78,7 @@
 				case: call.case,
 				value: shares === undefined || shares === 'notAllocator'
 					? {home: false}
-					: {home: true, shares: [...shares.grants].map(([workspace, grant]) => ({workspace, ...grant})), spanMs: shares.span},
+					: {home: true, shares: [...shares.grants].map(([workspace, grant]) => ({workspace, ...grant})), spanMs: shares.spanMs},
 			};
 		}
 
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -148,7 +148,7 @@
 	const {dispatch} = loop;
 	const readState = loop.state;
 	const findPeer = createPeers(readState, {
-		...settings.endpoints, timeout: settings.control.exchangeTimeout, clock, now,
+		...settings.endpoints, timeoutMs: settings.control.exchangeTimeout, clock, now,
 	});
 	const exchanger = createExchanger({
 		self, readState, dispatch, findPeer, clock, wordSpan: settings.keys.wordSpan, now,
--- a/packages/sessions/create-partition-limiter.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -99,7 +99,7 @@
 
 		unansweredSince = undefined;
 		answeredEpoch = row.epoch;
-		shares.applyGrants(granted.grants, {spanMs: granted.span, requestedAt});
+		shares.applyGrants(granted.grants, {spanMs: granted.spanMs, requestedAt});
 		return true;
 	};
 
--- a/packages/sessions/create-rate-allocator.ts
+++ b/packages/sessions/create-rate-allocator.ts
@@ -77,7 +77,7 @@
 			now: now().steady,
 		});
 		({state} = assigned);
-		return {grants: assigned.grants, span: shareSpanMs};
+		return {grants: assigned.grants, spanMs: shareSpanMs};
 	};
 
 	return {
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -30,7 +30,7 @@
 type Shares = {
 	readonly grants: ReadonlyMap<string, RateGrant>;
 	/** Milliseconds for which the grants are valid, from when they were requested. */
-	readonly span: number;
+	readonly spanMs: number;
 };
 
 /** Calls from this host to another one. Each call resolves to undefined when no answer came. */
--- a/packages/sessions/parse-fleet-rows.ts
+++ b/packages/sessions/parse-fleet-rows.ts
@@ -14,13 +14,13 @@
 	const hosts = new Map<string, Versioned<HostRow>>();
 	const goneHosts = new Map<string, Versioned<HostRow>>();
 	let failoverLock: Versioned<FailoverLockRow> | undefined;
-	const rateHomes = new Map<number, Versioned<RateAllocatorRow>>();
+	const rateAllocators = new Map<number, Versioned<RateAllocatorRow>>();
 	for (const {key, value = '', version} of rows) {
 		try {
 			if (key === fleetKeys.failoverLock) {
 				failoverLock = {...JSON.parse(value) as FailoverLockRow, version};
 			} else if (key.startsWith(fleetKeys.rateAllocatorPrefix)) {
-				rateHomes.set(Number(key.slice(fleetKeys.rateAllocatorPrefix.length)), {...JSON.parse(value) as RateAllocatorRow, version});
+				rateAllocators.set(Number(key.slice(fleetKeys.rateAllocatorPrefix.length)), {...JSON.parse(value) as RateAllocatorRow, version});
 			} else if (key.startsWith(fleetKeys.groupPrefix)) {
 				groups.set(key.slice(fleetKeys.groupPrefix.length), {...JSON.parse(value) as GroupRow, version});
 			} else if (key.startsWith(fleetKeys.hostPrefix)) {
@@ -33,6 +33,6 @@
 	}
 
 	return {
-		groups, hosts, goneHosts, failoverLock, rateAllocators: rateHomes,
+		groups, hosts, goneHosts, failoverLock, rateAllocators,
 	};
 }
