--- a/packages/hosts/call-limits.ts
+++ b/packages/hosts/call-limits.ts
@@ -1,7 +1,7 @@
-/** How long a call to another host is waited for. */
+/** How long the calling host waits for the answer to a call. */
 export type CallLimits = {
-	/** Milliseconds within which the answer must come. */
-	readonly timeout: number;
-	/** Whether the connection is closed when the host shows no life meanwhile, long before the timeout. */
-	readonly isWatched: boolean;
+	/** Milliseconds after which the call is given up. */
+	readonly timeoutMs: number;
+	/** Whether the other host is pinged while the call is open, so that a dead connection is closed long before the timeout. */
+	readonly hasKeepalive: boolean;
 };
--- a/packages/hosts/call-options.ts
+++ b/packages/hosts/call-options.ts
@@ -1,17 +1,17 @@
 import type {Socket} from 'node:net';
 
-/** How to make calls on a connection to another host. */
+/** Options of a connection for calls to another host. */
 export type CallOptions<Response> = {
-	/** Begins to connect. */
+	/** Starts to connect. */
 	readonly connect: () => Socket;
-	/** Decodes an answer; throws when it cannot be read. */
+	/** Decodes an answer; throws if the message is invalid. */
 	readonly decode: (message: Uint8Array) => Response;
-	/** Encodes a call that asks for nothing but a sign of life. */
+	/** Encodes a ping, which is a call that the other host answers immediately. */
 	readonly encodePing: (id: number) => Uint8Array;
-	/** Milliseconds without any message after which a connection with no open call is closed. */
-	readonly idleSpan: number;
-	/** Present monotonic milliseconds. */
+	/** Milliseconds without data in either direction after which a connection without open calls is closed. */
+	readonly idleTimeoutMs: number;
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Called with what is wrong when the other host breaks the protocol. */
-	readonly onBroken: (reason: string) => void;
+	/** Called with the reason when the other host violates the protocol; the connection is closed then. */
+	readonly onProtocolError: (reason: string) => void;
 };
--- a/packages/hosts/call-outcome.ts
+++ b/packages/hosts/call-outcome.ts
@@ -1,7 +1,7 @@
-/** How a call to another host ended. */
+/** Outcome of a call to another host. */
 export type CallOutcome<Response> =
 	| {readonly kind: 'answered'; readonly response: Response}
-	/** Nothing of the call has left this host, and nothing will. */
+	/** Nothing of the call was sent, and nothing will be. */
 	| {readonly kind: 'notSent'}
-	/** No answer came in time, or the connection was lost; the other host may have got the call. */
+	/** No answer arrived in time, or the connection was lost; the other host may have received the call. */
 	| {readonly kind: 'lost'};
--- a/packages/hosts/create-call-channel.test.ts
+++ b/packages/hosts/create-call-channel.test.ts
@@ -9,11 +9,11 @@
 import {createCallChannel} from './create-call-channel.ts';
 import {serveCalls} from './serve-calls.ts';
 
-/** A call or its answer: a number and a text; the text of a call says how it is answered. */
+/** A call or an answer. The text of a call selects the behaviour of the test host. */
 type Message = {readonly id: number; readonly text: string};
 
-/** Milliseconds within which a silent connection must be found. */
-const silenceBound = 1100;
+/** Milliseconds within which a dead connection must be detected. */
+const maxDetectionMs = 1100;
 
 const encode = ({id, text}: Message): Uint8Array => {
 	const bytes = Buffer.alloc(4 + Buffer.byteLength(text));
@@ -25,22 +25,22 @@
 const decode = (message: Uint8Array): Message => {
 	const bytes = Buffer.from(message);
 	if (bytes.length < 4 || bytes.toString('utf8', 4).includes('\u{FFFD}')) {
-		throw new Error('the message cannot be decoded');
+		throw new Error('message is too short or not valid UTF-8');
 	}
 
 	return {id: bytes.readUInt32BE(), text: bytes.toString('utf8', 4)};
 };
 
-/** Puts the length in front of a message. */
+/** Prefixes a message with its length. */
 const createFrame = (message: Uint8Array): Buffer => {
 	const header = Buffer.alloc(4);
 	header.writeUInt32BE(message.length);
 	return Buffer.concat([header, message]);
 };
 
-/** Starts a host that answers `wait N` after so many milliseconds, `never` not at all, and all else at once. */
+/** Starts a host that answers `wait N` after N milliseconds, `never` after a minute, and any other text immediately. */
 async function startHost() {
-	const broken: string[] = [];
+	const protocolErrors: string[] = [];
 	const server = serveCalls<Message>({host: '127.0.0.1', port: 0}, {
 		decode,
 		async answer({id, text}) {
@@ -51,14 +51,14 @@
 			await sleep(text.startsWith('wait ') ? Number(text.slice('wait '.length)) : 0);
 			return encode({id, text: `re: ${text}`});
 		},
-		onBroken(reason) {
-			broken.push(reason);
+		onProtocolError(reason) {
+			protocolErrors.push(reason);
 		},
 	});
-	return {...await waitForPort(server), broken};
+	return {...await waitForPort(server), protocolErrors};
 }
 
-/** Starts a server of bare sockets. */
+/** Starts a TCP server that passes each socket to `serve`. */
 async function startSocketServer(serve: (socket: Socket) => void) {
 	return waitForPort(createServer(socket => {
 		socket.on('error', () => undefined);
@@ -76,13 +76,13 @@
 	return {server, port: (server.address() as AddressInfo).port};
 }
 
-const writeAnswer = (socket: Socket, id: number) => {
+const writeLateAnswer = (socket: Socket, id: number) => {
 	socket.write(createFrame(encode({id, text: 'late'})));
 };
 
-/** Opens a channel to a port, and counts its connections. */
-function openChannel(port: number) {
-	const broken: string[] = [];
+/** Creates a channel to a local port that counts its connections and records protocol errors. */
+function createChannel(port: number) {
+	const protocolErrors: string[] = [];
 	let connections = 0;
 	const call = createCallChannel<Message>({
 		connect() {
@@ -91,23 +91,23 @@
 		},
 		decode,
 		encodePing: id => encode({id, text: 'ping'}),
-		idleSpan: 1000,
+		idleTimeoutMs: 1000,
 		now: () => performance.now(),
-		onBroken(reason) {
-			broken.push(reason);
+		onProtocolError(reason) {
+			protocolErrors.push(reason);
 		},
 	});
 	return {
-		send: async (text: string, timeout = 1000, isWatched = true) => call(id => encode({id, text}), {timeout, isWatched}),
+		send: async (text: string, timeoutMs = 1000, hasKeepalive = true) => call(id => encode({id, text}), {timeoutMs, hasKeepalive}),
 		countConnections: () => connections,
-		broken,
+		protocolErrors,
 	};
 }
 
 describe('createCallChannel', () => {
-	it('matches answers with calls, whatever their order', async () => {
+	it('matches answers to calls when they arrive in another order', async () => {
 		const {server, port} = await startHost();
-		const {send, countConnections} = openChannel(port);
+		const {send, countConnections} = createChannel(port);
 		const order: string[] = [];
 		const texts = ['wait 60', 'wait 30', 'wait 0'];
 		const outcomes = await Promise.all(texts.map(async text => {
@@ -121,15 +121,15 @@
 		expect(countConnections()).to.equal(1);
 	});
 
-	it('says that nothing was sent when no host takes the connection', async () => {
+	it('resolves to notSent when the connection is refused', async () => {
 		const {server, port} = await startSocketServer(() => undefined);
 		server.close();
-		expect(await openChannel(port).send('a')).to.deep.equal({kind: 'notSent'});
+		expect(await createChannel(port).send('a')).to.deep.equal({kind: 'notSent'});
 	});
 
-	it('gives up a call at its deadline while the host answers others, on the same connection', async () => {
+	it('times out a call while the host answers other calls, and keeps the connection', async () => {
 		const {server, port} = await startHost();
-		const {send, countConnections} = openChannel(port);
+		const {send, countConnections} = createChannel(port);
 		const late = send('wait 300', 100);
 		await sleep(50);
 		expect((await send('b')).kind).to.equal('answered');
@@ -140,7 +140,7 @@
 		expect(countConnections()).to.equal(1);
 	});
 
-	it('opens another connection when one left a call unanswered, and still takes answers from the old one', async () => {
+	it('opens a new connection after a call timed out, and still accepts answers on the old one', async () => {
 		let accepted = 0;
 		const {server, port} = await startSocketServer(socket => {
 			accepted++;
@@ -148,76 +148,76 @@
 			let id = 0;
 			socket.on('data', () => {
 				id++;
-				setTimeout(writeAnswer, delay, socket, id);
+				setTimeout(writeLateAnswer, delay, socket, id);
 			});
 		});
-		const {send} = openChannel(port);
-		const patient = send('a', 800);
+		const {send} = createChannel(port);
+		const longCall = send('a', 800);
 		await sleep(10);
 		expect(await send('b', 100)).to.deep.equal({kind: 'lost'});
 		expect((await send('c', 100)).kind).to.equal('answered');
-		expect((await patient).kind).to.equal('answered');
+		expect((await longCall).kind).to.equal('answered');
 		server.close();
 	});
 
-	it('finds a connection that has gone silent long before the deadline of a call', async () => {
+	it('detects a dead connection long before the deadline of a call', async () => {
 		const {server, port} = await startSocketServer(() => undefined);
 		const startedAt = performance.now();
-		expect(await openChannel(port).send('a', 30_000)).to.deep.equal({kind: 'lost'});
+		expect(await createChannel(port).send('a', 30_000)).to.deep.equal({kind: 'lost'});
 		server.close();
-		expect(performance.now() - startedAt).to.be.below(silenceBound);
+		expect(performance.now() - startedAt).to.be.below(maxDetectionMs);
 	});
 
-	it('asks for no sign of life during a call that is not watched', async () => {
+	it('sends no ping during a call without keepalive', async () => {
 		const lengths: number[] = [];
 		const {server, port} = await startSocketServer(socket => {
 			socket.on('data', piece => {
 				lengths.push(piece.length);
 			});
 		});
-		expect(await openChannel(port).send('a', 1200, false)).to.deep.equal({kind: 'lost'});
+		expect(await createChannel(port).send('a', 1200, false)).to.deep.equal({kind: 'lost'});
 		server.close();
 		expect(lengths).to.have.length(1);
 	});
 
-	it('keeps a call open while the host shows life', async () => {
+	it('keeps a call open while the host answers pings', async () => {
 		const {server, port} = await startHost();
-		expect((await openChannel(port).send('wait 1500', 3000)).kind).to.equal('answered');
+		expect((await createChannel(port).send('wait 1500', 3000)).kind).to.equal('answered');
 		server.close();
 	});
 
 	const answers = [
 		{name: 'an answer to a call that was never made', bytes: createFrame(encode({id: 99, text: 'x'}))},
-		{name: 'an answer without a number', bytes: createFrame(Buffer.from([1]))},
+		{name: 'an answer without a call number', bytes: createFrame(Buffer.from([1]))},
 		{name: 'an answer that cannot be decoded', bytes: createFrame(Buffer.from([0, 0, 0, 1, 0xFF, 0xFE]))},
-		{name: 'an answer over the limit', bytes: Buffer.from([0xFF, 0, 0, 0])},
+		{name: 'an answer that exceeds the size limit', bytes: Buffer.from([0xFF, 0, 0, 0])},
 	];
 	for (const {name, bytes} of answers) {
-		it(`closes the connection on ${name}, and says so`, async () => {
+		it(`closes the connection and reports a protocol error on ${name}`, async () => {
 			const {server, port} = await startSocketServer(socket => {
 				socket.on('data', () => {
 					socket.write(bytes);
 				});
 			});
-			const {send, broken} = openChannel(port);
+			const {send, protocolErrors} = createChannel(port);
 			expect(await send('a')).to.deep.equal({kind: 'lost'});
 			server.close();
-			expect(broken).to.have.length(1);
+			expect(protocolErrors).to.have.length(1);
 		});
 	}
 });
 
 describe('serveCalls', () => {
 	const calls = [
-		{name: 'a call over the limit', bytes: Buffer.from([0xFF, 0, 0, 0])},
+		{name: 'a call that exceeds the size limit', bytes: Buffer.from([0xFF, 0, 0, 0])},
 		{name: 'a call that cannot be decoded', bytes: createFrame(Buffer.from([1]))},
-		{name: 'a call numbered like one before', bytes: Buffer.concat([createFrame(encode({id: 1, text: 'a'})), createFrame(encode({id: 1, text: 'a'}))])},
-		{name: 'calls out of order', bytes: Buffer.concat([createFrame(encode({id: 5, text: 'a'})), createFrame(encode({id: 4, text: 'a'}))])},
+		{name: 'a call with the number of an earlier call', bytes: Buffer.concat([createFrame(encode({id: 1, text: 'a'})), createFrame(encode({id: 1, text: 'a'}))])},
+		{name: 'call numbers that decrease', bytes: Buffer.concat([createFrame(encode({id: 5, text: 'a'})), createFrame(encode({id: 4, text: 'a'}))])},
 	];
 	for (const {name, bytes} of calls) {
-		it(`closes the connection on ${name}, and harms no other`, async () => {
-			const {server, port, broken} = await startHost();
-			const {send} = openChannel(port);
+		it(`closes the connection on ${name} and keeps other connections open`, async () => {
+			const {server, port, protocolErrors} = await startHost();
+			const {send} = createChannel(port);
 			const other = send('wait 100');
 			const socket = connect({host: '127.0.0.1', port});
 			socket.on('error', () => undefined);
@@ -228,13 +228,13 @@
 			});
 			expect((await other).kind).to.equal('answered');
 			server.close();
-			expect(broken).to.have.length(1);
+			expect(protocolErrors).to.have.length(1);
 		});
 	}
 
-	it('goes on serving others whatever bytes a connection brings', async () => {
+	it('keeps serving other connections when one sends arbitrary bytes', async () => {
 		const {server, port} = await startHost();
-		const {send, countConnections} = openChannel(port);
+		const {send, countConnections} = createChannel(port);
 		const property = fc.asyncProperty(fc.uint8Array({maxLength: 64}), async bytes => {
 			const socket = connect({host: '127.0.0.1', port});
 			socket.on('error', () => undefined);
--- a/packages/hosts/create-call-channel.ts
+++ b/packages/hosts/create-call-channel.ts
@@ -3,16 +3,16 @@
 import {openCallConnection} from './open-call-connection.ts';
 
 /**
- * Creates a way to call another host: one connection, which opens at the first call.
+ * Creates a function that calls another host over one connection, which is opened on the first call.
  *
- * When that connection is closed, or left a call unanswered, the next call opens another one. Calls that are still open
- * on the old one may be answered there, since the other host may only have been slow.
+ * Once that connection is closed, has no call numbers left or has left a call unanswered, the next call opens a new one.
+ * The old connection stays open until its open calls end, since the other host may only be slow.
  */
 export function createCallChannel<Response extends {readonly id: number}>(options: CallOptions<Response>): CallConnection<Response>['call'] {
 	let connection: CallConnection<Response> | undefined;
 	return async (encode, limits) => {
-		if (connection === undefined || connection.isDoubtful()) {
-			connection?.retire();
+		if (connection === undefined || connection.isDueForReplacement()) {
+			connection?.drain();
 			connection = openCallConnection(options);
 		}
 
--- a/packages/hosts/create-fleet-peer.ts
+++ b/packages/hosts/create-fleet-peer.ts
@@ -13,32 +13,32 @@
 import {encodeMark} from './encode-mark.ts';
 
 type Options = {
-	/** Milliseconds to wait for an answer. */
+	/** Milliseconds after which a call is given up, in addition to the time that the call may wait at the other host. Jobs and pings have timeouts of their own. */
 	readonly timeoutMs: number;
-	/** Milliseconds without a call after which the connection is closed. */
+	/** Milliseconds without data after which the connection is closed. */
 	readonly idleTimeoutMs: number;
-	/** Present monotonic milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 	readonly log: SessionLog;
 };
 
-/** Milliseconds beyond the time that work may take, for the way there and back. */
-const wayMargin = 150;
+/** Milliseconds added to the timeout of a job for the network round trip. */
+const roundTripMarginMs = 150;
 
-/** Milliseconds within which a host must answer whether it answers at all. */
-const pingTimeout = 300;
+/** Milliseconds within which a host must answer a ping to count as reachable. */
+const pingTimeoutMs = 300;
 
-/** Milliseconds for work that names no time of its own. */
-const usualJobTimeout = 1000;
+/** Timeout in milliseconds of jobs without a timeout of their own. */
+const defaultJobTimeoutMs = 1000;
 
-type PeerKnowledge = NonNullable<Awaited<ReturnType<FleetPeer['readTables']>>>;
+type PeerTables = NonNullable<Awaited<ReturnType<FleetPeer['readTables']>>>;
 
 type Call = NonNullable<MessageInitShape<typeof FleetRequestSchema>['call']>;
 
 /**
- * Creates the client of another host that serves sessions. All calls share one connection.
+ * Creates a client for the session calls of another host. All calls share one connection.
  *
- * @param address Where the host takes calls.
+ * @param address TCP address on which the host serves calls.
  */
 export function createFleetPeer(address: {readonly host: string; readonly port: number}, {
 	timeoutMs, idleTimeoutMs, now, log,
@@ -49,25 +49,25 @@
 		connect: () => connect({...address, noDelay: true}),
 		decode: message => fromBinary(FleetResponseSchema, message),
 		encodePing,
-		idleSpan: idleTimeoutMs,
+		idleTimeoutMs,
 		now,
-		onBroken(reason) {
-			log.warn({...address, reason}, 'peer: Another host sent an answer that cannot be read; the connection is closed.');
+		onProtocolError(reason) {
+			log.warn({...address, reason}, 'peer: The host closes the connection to another host, which sent an invalid message.');
 		},
 	});
 
-	/** Sends a call that may wait for some milliseconds at the other host. */
-	const send = async (call: Call, wait = 0) => {
-		const outcome = await channel(encode(call), {timeout: timeoutMs + wait, isWatched: false});
+	/** Sends a call; `waitMs` is the time that the other host may wait before it answers. */
+	const send = async (call: Call, waitMs = 0) => {
+		const outcome = await channel(encode(call), {timeoutMs: timeoutMs + waitMs, hasKeepalive: false});
 		return outcome.kind === 'answered' ? outcome.response.answer : undefined;
 	};
 
 	return {
-		async readTables(asked, wait) {
+		async readTables(asked, waitMs) {
 			const answer = await send({
 				case: 'readTables',
-				value: {tables: [...asked].map(([table, {mark, age}]) => ({table, ageMs: age, ...mark && {mark: encodeMark(mark)}})), waitMs: wait},
-			}, wait);
+				value: {tables: [...asked].map(([table, {mark, age}]) => ({table, ageMs: age, ...mark && {mark: encodeMark(mark)}})), waitMs},
+			}, waitMs);
 			return answer?.case === 'readTables'
 				? {tables: decodeTables(answer.value), positions: decodePositions(answer.value), waitedMs: answer.value.waitedMs}
 				: undefined;
@@ -101,8 +101,8 @@
 			return answer?.case === 'confirmSilence' ? answer.value.silent : undefined;
 		},
 		async runJob(instance, job) {
-			const jobTimeout = ('timeout' in job ? job.timeout : usualJobTimeout) + wayMargin;
-			const outcome = await channel(encode({case: 'runJob', value: encodeJob(instance, job)}), {timeout: jobTimeout, isWatched: true});
+			const jobTimeoutMs = ('timeout' in job ? job.timeout : defaultJobTimeoutMs) + roundTripMarginMs;
+			const outcome = await channel(encode({case: 'runJob', value: encodeJob(instance, job)}), {timeoutMs: jobTimeoutMs, hasKeepalive: true});
 			if (outcome.kind !== 'answered') {
 				return outcome.kind === 'notSent' ? 'notServed' : undefined;
 			}
@@ -111,19 +111,19 @@
 			return answer.case === 'runJob' ? decodeJobAnswer(answer.value) : undefined;
 		},
 		async ping() {
-			const {kind} = await channel(encodePing, {timeout: pingTimeout, isWatched: false});
+			const {kind} = await channel(encodePing, {timeoutMs: pingTimeoutMs, hasKeepalive: false});
 			return kind === 'answered';
 		},
 	};
 }
 
-function decodePositions({samples}: ReadTablesResponse): PeerKnowledge['positions'] {
+function decodePositions({samples}: ReadTablesResponse): PeerTables['positions'] {
 	return samples.map(({group, epoch, position, ageMs}) => ({
 		group, epoch: Number(epoch), position: decodePoint(position), age: ageMs,
 	}));
 }
 
-function decodeTables({tables}: ReadTablesResponse): PeerKnowledge['tables'] {
+function decodeTables({tables}: ReadTablesResponse): PeerTables['tables'] {
 	return tables.map(({
 		table, version, mark, ageMs, whole, rows, reader,
 	}) => ({
--- a/packages/hosts/open-call-connection.ts
+++ b/packages/hosts/open-call-connection.ts
@@ -5,48 +5,48 @@
 
 type OpenCall<Response> = {
 	readonly deadline: number;
-	readonly isWatched: boolean;
+	readonly hasKeepalive: boolean;
 	readonly sentAt: number;
 	readonly finish: (outcome: CallOutcome<Response>) => void;
 };
 
-/** Milliseconds without a message, while a watched call is open, after which a sign of life is asked for. */
-const beatInterval = 400;
+/** Milliseconds without received data, while a call with keepalive is open, after which a ping is sent. */
+const keepaliveIntervalMs = 400;
 
-/** Milliseconds without a message, while a watched call is open, after which the connection counts as silent and is closed. */
-const silenceLimit = 900;
+/** Milliseconds without received data, while a call with keepalive is open, after which the connection is closed as dead. */
+const keepaliveTimeoutMs = 900;
 
-/** Milliseconds between two looks at deadlines at the least; calls that time out may do so this much late. */
-const timerResolution = 25;
+/** Minimum delay of the timer that checks deadlines, in milliseconds; a call may time out this much late. */
+const minTimerDelayMs = 25;
 
-/** Number of calls after which another connection is opened; their numbers have 32 bits. */
-const lastNumber = 2 ** 31;
+/** Call number after which a new connection is opened, because the call numbers in messages have 32 bits. */
+const maxCallId = 2 ** 31;
 
-/** Bytes that may wait to be sent; a call beyond them is not sent, since the other host takes them too slowly. */
-const waitingLimit = 4 * 1024 * 1024;
+/** Maximum number of unsent bytes; above it the other host reads too slowly, and further calls are not sent. */
+const maxBufferedBytes = 4 * 1024 * 1024;
 
 /**
  * Opens a connection for calls to another host. Calls are answered in any order.
  *
- * One timer serves all deadlines and finds out that the connection has gone silent.
+ * One timer serves the deadlines of all calls and detects a dead connection.
  */
 export function openCallConnection<Response extends {readonly id: number}>(options: CallOptions<Response>): CallConnection<Response> {
-	const {now, onBroken} = options;
+	const {now, onProtocolError} = options;
 	const socket = options.connect();
 	const writer = createFrameWriter(socket);
-	const open = new Map<number, OpenCall<Response>>();
-	/** Open calls during which the other host must show life. */
-	let watched = 0;
+	const openCalls = new Map<number, OpenCall<Response>>();
+	/** Number of open calls with keepalive. */
+	let keepaliveCalls = 0;
 	let lastId = 0;
-	let heardAt = now();
-	let beatAt = heardAt;
+	let lastReceivedAt = now();
+	let pingedAt = lastReceivedAt;
 	let isConnected = false;
 	let isClosed = false;
-	let isRetired = false;
-	/** Whether a call got no answer in time, and nothing else came meanwhile. */
-	let isDoubtful = false;
+	let isDraining = false;
+	/** Whether a call timed out and no data was received since it was sent. */
+	let isSuspect = false;
 	let timer: NodeJS.Timeout | undefined;
-	let timerDue = Number.POSITIVE_INFINITY;
+	let timerDueAt = Number.POSITIVE_INFINITY;
 
 	const close = () => {
 		if (isClosed) {
@@ -56,53 +56,53 @@
 		isClosed = true;
 		clearTimeout(timer);
 		socket.destroy();
-		// What is written before the connection stands never leaves this host.
+		// Data written before the connection is established never leaves this host.
 		const outcome = isConnected ? {kind: 'lost'} as const : {kind: 'notSent'} as const;
-		for (const call of open.values()) {
+		for (const call of openCalls.values()) {
 			call.finish(outcome);
 		}
 
-		open.clear();
+		openCalls.clear();
 	};
 
 	const closeIfUnused = () => {
-		if (isRetired && open.size === 0) {
+		if (isDraining && openCalls.size === 0) {
 			close();
 		}
 	};
 
-	const breakOff = (reason: string) => {
+	const failConnection = (reason: string) => {
 		if (!isClosed) {
-			onBroken(reason);
+			onProtocolError(reason);
 			close();
 		}
 	};
 
-	const takeCall = (id: number) => {
-		const call = open.get(id);
-		open.delete(id);
-		watched -= call?.isWatched === true ? 1 : 0;
+	const removeCall = (id: number) => {
+		const call = openCalls.get(id);
+		openCalls.delete(id);
+		keepaliveCalls -= call?.hasKeepalive === true ? 1 : 0;
 		return call;
 	};
 
 	const receive = (message: Uint8Array) => {
 		const response = options.decode(message);
 		if (response.id === 0 || response.id > lastId) {
-			throw new Error(`call ${response.id} is answered, but was never made`);
+			throw new Error(`received an answer to call ${response.id}, but the last call sent is ${lastId}`);
 		}
 
-		// An answer that comes after its deadline finds no call any more.
-		takeCall(response.id)?.finish({kind: 'answered', response});
+		// A call whose deadline has passed is no longer open, so its late answer is ignored.
+		removeCall(response.id)?.finish({kind: 'answered', response});
 		closeIfUnused();
 	};
 
-	/** Ends calls whose time is over; returns the earliest deadline of the others. */
-	const endLateCalls = (at: number): number => {
+	/** Ends calls whose deadline has passed; returns the earliest deadline of the others. */
+	const expireCalls = (at: number): number => {
 		let earliest = Number.POSITIVE_INFINITY;
-		for (const [id, call] of open) {
+		for (const [id, call] of openCalls) {
 			if (call.deadline <= at) {
-				takeCall(id);
-				isDoubtful ||= heardAt <= call.sentAt;
+				removeCall(id);
+				isSuspect ||= lastReceivedAt <= call.sentAt;
 				call.finish({kind: 'lost'});
 			} else {
 				earliest = Math.min(earliest, call.deadline);
@@ -112,42 +112,42 @@
 		return earliest;
 	};
 
-	const askForLife = (at: number) => {
-		if (at - Math.max(heardAt, beatAt) >= beatInterval) {
-			beatAt = at;
+	const pingIfSilent = (at: number) => {
+		if (at - Math.max(lastReceivedAt, pingedAt) >= keepaliveIntervalMs) {
+			pingedAt = at;
 			lastId++;
 			writer.write(options.encodePing(lastId));
 		}
 	};
 
-	const check = () => {
-		timerDue = Number.POSITIVE_INFINITY;
+	const checkCalls = () => {
+		timerDueAt = Number.POSITIVE_INFINITY;
 		const at = now();
-		const earliest = endLateCalls(at);
-		if (open.size === 0) {
+		const earliest = expireCalls(at);
+		if (openCalls.size === 0) {
 			closeIfUnused();
 			return;
 		}
 
-		if (watched === 0) {
+		if (keepaliveCalls === 0) {
 			startTimer(earliest, at);
 			return;
 		}
 
-		if (at - heardAt >= silenceLimit) {
+		if (at - lastReceivedAt >= keepaliveTimeoutMs) {
 			close();
 			return;
 		}
 
-		askForLife(at);
-		startTimer(Math.min(earliest, at + beatInterval, heardAt + silenceLimit), at);
+		pingIfSilent(at);
+		startTimer(Math.min(earliest, at + keepaliveIntervalMs, lastReceivedAt + keepaliveTimeoutMs), at);
 	};
 
 	const startTimer = (due: number, at: number) => {
-		if (due < timerDue) {
+		if (due < timerDueAt) {
 			clearTimeout(timer);
-			timerDue = due;
-			timer = setTimeout(check, Math.max(timerResolution, due - at));
+			timerDueAt = due;
+			timer = setTimeout(checkCalls, Math.max(minTimerDelayMs, due - at));
 		}
 	};
 
@@ -155,45 +155,45 @@
 		isConnected = true;
 	});
 	socket.on('data', () => {
-		heardAt = now();
-		isDoubtful = false;
+		lastReceivedAt = now();
+		isSuspect = false;
 	});
-	readFrames(socket, {receive, onBroken: breakOff});
-	// The close that follows ends all calls.
+	readFrames(socket, {receive, onBroken: failConnection});
+	// The 'close' event that follows an error ends all open calls.
 	socket.on('error', () => undefined);
 	socket.on('close', close);
-	socket.setTimeout(options.idleSpan, () => {
-		if (open.size === 0) {
+	socket.setTimeout(options.idleTimeoutMs, () => {
+		if (openCalls.size === 0) {
 			close();
 		}
 	});
 
 	return {
-		async call(encode, {timeout, isWatched}) {
-			if (isClosed || writer.waitingBytes() > waitingLimit) {
+		async call(encode, {timeoutMs, hasKeepalive}) {
+			if (isClosed || writer.waitingBytes() > maxBufferedBytes) {
 				return {kind: 'notSent'};
 			}
 
 			const at = now();
-			if (isWatched && watched === 0) {
-				// Silence counts from the first call that waits.
-				heardAt = at;
+			if (hasKeepalive && keepaliveCalls === 0) {
+				// The keepalive timeout starts with the first open call that has keepalive.
+				lastReceivedAt = at;
 			}
 
 			lastId++;
 			const id = lastId;
 			writer.write(encode(id));
 			return new Promise(resolve => {
-				open.set(id, {
-					deadline: at + timeout, isWatched, sentAt: at, finish: resolve,
+				openCalls.set(id, {
+					deadline: at + timeoutMs, hasKeepalive, sentAt: at, finish: resolve,
 				});
-				watched += isWatched ? 1 : 0;
-				startTimer(isWatched ? Math.min(at + timeout, at + beatInterval) : at + timeout, at);
+				keepaliveCalls += hasKeepalive ? 1 : 0;
+				startTimer(hasKeepalive ? Math.min(at + timeoutMs, at + keepaliveIntervalMs) : at + timeoutMs, at);
 			});
 		},
-		isDoubtful: () => isClosed || isDoubtful || lastId >= lastNumber,
-		retire() {
-			isRetired = true;
+		isDueForReplacement: () => isClosed || isSuspect || lastId >= maxCallId,
+		drain() {
+			isDraining = true;
 			closeIfUnused();
 		},
 	};
--- a/packages/hosts/serve-calls.ts
+++ b/packages/hosts/serve-calls.ts
@@ -2,27 +2,27 @@
 import {createFrameWriter, readFrames} from '@sapphirefall/wire';
 
 type Options<Request> = {
-	/** Decodes a call; throws when it cannot be read. */
+	/** Decodes a call; throws if the message is invalid. */
 	readonly decode: (message: Uint8Array) => Request;
-	/** Answers a call with an encoded message; must not reject. */
+	/** Runs a call and resolves with the encoded answer; must not reject. */
 	readonly answer: (request: Request) => Promise<Uint8Array>;
-	/** Called with what is wrong when another host breaks the protocol. */
-	readonly onBroken: (reason: string, from: string) => void;
+	/** Called with the reason and the remote address when another host violates the protocol; the connection is closed then. */
+	readonly onProtocolError: (reason: string, remoteAddress: string) => void;
 };
 
-/** Connections that may wait to be taken; after a restart all hosts connect at once. */
+/** Length of the queue of pending connections; after a restart all hosts connect at the same time. */
 const backlog = 512;
 
-/** Calls of one connection that run at once; the next ones are read once some are done. */
-const runningLimit = 1000;
+/** Maximum number of calls of one connection in progress; at the limit the socket is paused until one ends. */
+const maxCallsInProgress = 1000;
 
-/** Bytes of answers that may wait; a host that takes them no faster is not waited for. */
-const waitingLimit = 16 * 1024 * 1024;
+/** Maximum number of unsent answer bytes; above it the other host reads too slowly, and its connection is closed. */
+const maxBufferedBytes = 16 * 1024 * 1024;
 
-/** Milliseconds without any message after which a connection is closed, whose other end may be gone; longer than callers keep it. */
-const idleSpan = 360_000;
+/** Milliseconds without data after which a connection is closed, since the other host may be gone; longer than the idle timeout of callers. */
+const idleTimeoutMs = 360_000;
 
-/** Serves calls of other hosts, as made by `openCallConnection`. Answers go out as they are ready. */
+/** Serves calls that other hosts make with `openCallConnection`. Sends each answer as soon as it is ready. */
 export function serveCalls<Request extends {readonly id: number}>(
 	address: {readonly host: string; readonly port: number},
 	options: Options<Request>,
@@ -33,51 +33,51 @@
 	return server.listen({...address, backlog});
 }
 
-function serveSocket<Request extends {readonly id: number}>(socket: Socket, {decode, answer, onBroken}: Options<Request>): void {
+function serveSocket<Request extends {readonly id: number}>(socket: Socket, {decode, answer, onProtocolError}: Options<Request>): void {
 	const writer = createFrameWriter(socket);
-	const from = `${socket.remoteAddress ?? ''}:${socket.remotePort ?? ''}`;
+	const remoteAddress = `${socket.remoteAddress ?? ''}:${socket.remotePort ?? ''}`;
 	let lastId = 0;
-	let running = 0;
+	let callsInProgress = 0;
 
-	const breakOff = (reason: string) => {
+	const failConnection = (reason: string) => {
 		if (!socket.destroyed) {
-			onBroken(reason, from);
+			onProtocolError(reason, remoteAddress);
 			socket.destroy();
 		}
 	};
 
 	const run = async (request: Request) => {
-		running++;
-		if (running === runningLimit) {
+		callsInProgress++;
+		if (callsInProgress === maxCallsInProgress) {
 			socket.pause();
 		}
 
 		const message = await answer(request);
-		running--;
-		if (running === runningLimit - 1) {
+		callsInProgress--;
+		if (callsInProgress === maxCallsInProgress - 1) {
 			socket.resume();
 		}
 
 		writer.write(message);
-		if (writer.waitingBytes() > waitingLimit) {
-			breakOff('answers are not taken');
+		if (writer.waitingBytes() > maxBufferedBytes) {
+			failConnection('the other host does not read its answers');
 		}
 	};
 
 	const receive = (message: Uint8Array) => {
 		const request = decode(message);
 		if (request.id <= lastId) {
-			throw new Error(`call ${request.id} comes after call ${lastId}`);
+			throw new Error(`received call ${request.id} after call ${lastId}; call numbers must increase`);
 		}
 
 		lastId = request.id;
 		void run(request);
 	};
 
-	readFrames(socket, {receive, onBroken: breakOff});
-	// A reset is followed by the close; what runs goes on, and its answers are not written.
+	readFrames(socket, {receive, onBroken: failConnection});
+	// The 'close' event follows a reset. Calls in progress continue, and their answers are not written.
 	socket.on('error', () => undefined);
-	socket.setTimeout(idleSpan, () => {
+	socket.setTimeout(idleTimeoutMs, () => {
 		socket.destroy();
 	});
 }
--- a/packages/hosts/serve-fleet.ts
+++ b/packages/hosts/serve-fleet.ts
@@ -12,24 +12,24 @@
 
 type Answer = FleetResponse['answer'];
 
-/** Serves the calls that hosts which serve sessions make to each other. */
+/** Serves the calls that session hosts make to each other with `createFleetPeer`. */
 export function serveFleet(address: {readonly host: string; readonly port: number}, {own, log}: {readonly own: FleetPeer; readonly log: SessionLog}): Server {
 	return serveCalls<FleetRequest>(address, {
 		decode: message => fromBinary(FleetRequestSchema, message),
 		answer: async request => answerCall(request, own, log),
-		onBroken(reason, from) {
-			log.warn({from, reason}, 'peer: Another host sent a call that cannot be read; the connection is closed.');
+		onProtocolError(reason, from) {
+			log.warn({from, reason}, 'peer: The host closes the connection of another host, which sent an invalid message or does not read its answers.');
 		},
 	});
 }
 
-/** Answers a call; one that fails, or that is not known here, gets an empty answer. */
+/** Runs a call and encodes its answer; the answer is empty if the call fails or its kind is unknown. */
 async function answerCall({id, call}: FleetRequest, own: FleetPeer, log: SessionLog): Promise<Uint8Array> {
 	try {
 		const answer = await createAnswer(call, own) as Answer;
 		return toBinary(FleetResponseSchema, create(FleetResponseSchema, {id, answer}));
 	} catch (error) {
-		log.warn({call: call.case, error: (error as Error).message}, 'peer: A call of another host failed; it gets an empty answer.');
+		log.warn({call: call.case, error: (error as Error).message}, 'peer: The host failed to run a call of another host and sends an empty answer.');
 		return toBinary(FleetResponseSchema, create(FleetResponseSchema, {id}));
 	}
 }
@@ -37,12 +37,12 @@
 async function createAnswer(call: FleetRequest['call'], own: FleetPeer): Promise<unknown> {
 	switch (call.case) {
 		case 'readTables': {
-			const asked = new Map(call.value.tables.map(({table, mark, ageMs}) => [table as StoreTable, {mark: mark && decodeMark(mark), age: ageMs}]));
-			const {tables = [], positions = [], waitedMs: waited = 0} = await own.readTables(asked, call.value.waitMs) ?? {};
+			const requested = new Map(call.value.tables.map(({table, mark, ageMs}) => [table as StoreTable, {mark: mark && decodeMark(mark), age: ageMs}]));
+			const {tables = [], positions = [], waitedMs = 0} = await own.readTables(requested, call.value.waitMs) ?? {};
 			return {
 				case: call.case,
 				value: {
-					waitedMs: waited,
+					waitedMs,
 					samples: positions.map(({
 						group, epoch, position, age,
 					}) => ({
