--- a/packages/hosts/create-fleet-peer.ts
+++ b/packages/hosts/create-fleet-peer.ts
@@ -63,10 +63,10 @@
 	};
 
 	return {
-		async readTables(asked, waitMs) {
+		async readTables(requested, waitMs) {
 			const answer = await send({
 				case: 'readTables',
-				value: {tables: [...asked].map(([table, {mark, age}]) => ({table, ageMs: age, ...mark && {mark: encodeMark(mark)}})), waitMs},
+				value: {tables: [...requested].map(([table, {mark, age}]) => ({table, ageMs: age, ...mark && {mark: encodeMark(mark)}})), waitMs},
 			}, waitMs);
 			return answer?.case === 'readTables'
 				? {tables: decodeTables(answer.value), positions: decodePositions(answer.value), waitedMs: answer.value.waitedMs}
--- a/packages/hosts/create-forwarder.ts
+++ b/packages/hosts/create-forwarder.ts
@@ -9,23 +9,23 @@
 import type {Peer} from './peer.ts';
 
 type Options = {
-	/** Milliseconds between two heartbeats. */
+	/** Milliseconds between heartbeats. */
 	readonly heartbeatInterval: number;
-	/** Milliseconds without any answer after which the channel counts as silent and is replaced. */
+	/** Milliseconds without an answer after which the channel is closed; the next request opens a new one. */
 	readonly silenceLimit: number;
 	/** Milliseconds without a request after which the channel is closed. */
 	readonly idleSpan: number;
-	/** Orders what happens here after what the other host has seen. */
+	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Present monotonic milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
 /**
- * Creates what sends admitted requests to another host, all over one channel.
+ * Creates a function that forwards admitted requests to another host, all over one channel.
  *
  * @param address URL of the host.
- * @param options Heartbeat times and the clock.
+ * @param options Heartbeat interval and timeout, idle timeout and clocks.
  */
 export function createForwarder(address: string, options: Options): Peer['forward'] {
 	const send = createHostChannel<typeof HostService, ForwardRequest, ForwardResponse>(address, {
--- a/packages/hosts/create-host-channel.ts
+++ b/packages/hosts/create-host-channel.ts
@@ -4,18 +4,18 @@
 import {openChannel, type Channel, type ChannelOptions} from '@sapphirefall/wire';
 
 type Options<Service extends DescService, Request, Response> = Omit<ChannelOptions<Request, Response>, 'open' | 'onClosed'> & {
-	/** What the other host offers. */
+	/** Service of the other host that the channel calls. */
 	readonly service: Service;
-	/** Opens the stream. */
+	/** Opens the stream of requests and responses. */
 	readonly open: (client: Client<Service>, requests: AsyncIterable<Request>, signal: AbortSignal) => AsyncIterable<Response>;
 };
 
 /**
- * Creates a channel to another host that opens at the first request, and anew at the next one after it has closed.
+ * Creates a channel to another host. The first request opens it, and the first one after it was closed opens it again.
  *
  * @param address URL of the host.
- * @param options How to open the stream, heartbeat times, and the clock.
- * @returns What sends a request on the channel.
+ * @param options How to open the stream, heartbeat, idle timeout and clock.
+ * @returns A function that sends a request on the channel.
  */
 export function createHostChannel<Service extends DescService, Request, Response extends {readonly id: number}>(
 	address: string,
--- a/packages/hosts/create-host-service.ts
+++ b/packages/hosts/create-host-service.ts
@@ -15,28 +15,29 @@
 import type {ExchangeContent} from './exchange-content.ts';
 
 type Options = {
-	/** Takes in what another host told and tells what it lacks. */
+	/** Applies the state that another host sent, and returns the state that it lacks. */
 	readonly exchange: (content: ExchangeContent) => ExchangeContent;
+	/** Whether this host also suspects that the primary of a term has failed. */
 	readonly confirm: (database: string, term: number) => boolean;
 	/** Executes a request that another host has admitted. */
 	readonly execute: (request: AdmittedRequest) => Promise<Answer>;
-	/** Orders what happens here after what the other host has seen. */
+	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Present monotonic milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Lends units; undefined when this host is not the workspace's home. */
-	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
-	/** Keeps a part of a workspace's bucket as its standby. */
+	/** Lends units of a workspace; undefined if this host is neither its home host nor its standby host with units to lend on. */
+	readonly lend: (request: LoanRequest) => LoanGrant | undefined;
+	/** Borrows a part of a workspace's token bucket from the home host, to lend it on as the standby host. */
 	readonly stand: (workspace: string) => void;
-	/** Takes a bucket over; false when this host does not know that it is the home. */
-	readonly takeOver: (bucket: BucketHandover) => boolean;
-	/** Commits a change that another host passed on. */
+	/** Takes over a workspace's token bucket; false unless this host has the handover's version of the roster and is the home host in it. */
+	readonly takeOver: (handover: BucketHandover) => boolean;
+	/** Commits an operator's change that another host passed on. */
 	readonly takeChange: (change: ChangeRequest) => Promise<MessageInitShape<typeof ChangeResponseSchema>>;
 };
 
 type ControlAnswer = NonNullable<MessageInitShape<typeof ControlResponseSchema>['answer']>;
 
-/** Creates the service that other entry hosts use. */
+/** Creates the service that a host offers to other hosts: control calls and forwarded requests. */
 export function createHostService(options: Options): ServiceImpl<typeof HostService> {
 	return {
 		async * control(messages) {
@@ -48,7 +49,7 @@
 	};
 }
 
-/** Answers a call; one that fails gets an empty answer. */
+/** Runs a call and returns its answer, which is empty if the call fails. */
 async function answerControl({id, call}: ControlRequest, options: Options): Promise<ControlResponse> {
 	try {
 		return create(ControlResponseSchema, {id, answer: await answerCall(call, options)});
@@ -77,8 +78,8 @@
 		}
 
 		case 'handOver': {
-			const {loans, ...bucket} = call.value;
-			const taken = options.takeOver({...bucket, loans: loans.map(({leftMs, ...loan}) => ({...loan, remainingMs: leftMs}))});
+			const {loans, ...handover} = call.value;
+			const taken = options.takeOver({...handover, loans: loans.map(({leftMs, ...loan}) => ({...loan, remainingMs: leftMs}))});
 			return {case: call.case, value: {taken}};
 		}
 
@@ -87,16 +88,16 @@
 		}
 
 		case undefined: {
-			throw new Error('The message names no call');
+			throw new Error('the control request contains no call, or one of an unknown kind');
 		}
 	}
 }
 
-function lend({standby, ...asked}: BorrowRequest, options: Options): MessageInitShape<typeof BorrowResponseSchema> {
-	const granted = options.lend({...asked, isStandby: standby});
-	return granted === undefined
+function lend({standby, ...request}: BorrowRequest, options: Options): MessageInitShape<typeof BorrowResponseSchema> {
+	const grant = options.lend({...request, isStandby: standby});
+	return grant === undefined
 		? {home: false}
 		: {
-			home: true, units: granted.units, spanMs: granted.validMs, retryAfterMs: granted.retryAfter,
+			home: true, units: grant.units, spanMs: grant.validMs, retryAfterMs: grant.retryAfter,
 		};
 }
--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -11,17 +11,17 @@
 import type {Peer} from './peer.ts';
 
 type Options = {
-	/** Milliseconds to wait for an answer. */
+	/** Milliseconds after which a control call is given up. */
 	readonly timeoutMs: number;
-	/** Milliseconds between two heartbeats on the channel for requests. */
+	/** Milliseconds between heartbeats on the channel for forwarded requests. */
 	readonly heartbeatInterval: number;
-	/** Milliseconds without any answer after which that channel is replaced. */
+	/** Milliseconds without an answer after which that channel is closed; the next request opens a new one. */
 	readonly silenceLimit: number;
 	/** Milliseconds without a call after which a channel is closed. */
 	readonly idleSpan: number;
-	/** Orders what happens here after what the other host has seen. */
+	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Present monotonic milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
@@ -29,17 +29,17 @@
 type Kind = NonNullable<Call['case']>;
 type AnswerValue<K extends Kind> = Extract<ControlResponse['answer'], {readonly case: K}>['value'];
 
-/** Milliseconds for an acceptor to commit a change. */
-const changeTimeout = 4000;
+/** Timeout in milliseconds of passing on an operator's change, which the acceptor has to commit before it answers. */
+const changeTimeoutMs = 4000;
 
 /**
- * Creates the client of another entry host.
+ * Creates a client for another host.
  *
- * Calls share one channel and are answered in any order. A call without an answer closes it, so that the next one
- * does not use a channel that has gone silent. Requests have a channel of their own.
+ * Control calls share one channel and are answered in any order. A control call that times out closes the channel, so
+ * that the next one does not use a dead channel. Forwarded requests have a channel of their own.
  *
  * @param address URL of the host.
- * @param options How long to wait for an answer, heartbeat times, and the clocks.
+ * @param options Timeouts, heartbeat interval and clocks.
  */
 export function createPeer(address: string, options: Options): Peer {
 	const sendControl = createHostChannel<typeof HostService, ControlRequest, ControlResponse>(address, {
@@ -50,12 +50,12 @@
 		now: options.now,
 	});
 
-	/** Makes a call; the answer to it is of the same kind. */
-	const send = async <K extends Kind>(call: Call & {readonly case: K}, timeout = options.timeoutMs): Promise<AnswerValue<K>> => {
-		const response = await runWithTimeout(timeout, async signal =>
+	/** Sends a control call and returns the answer, which is of the same kind; throws if there is none. */
+	const send = async <K extends Kind>(call: Call & {readonly case: K}, timeoutMs = options.timeoutMs): Promise<AnswerValue<K>> => {
+		const response = await runWithTimeout(timeoutMs, async signal =>
 			sendControl(id => create(ControlRequestSchema, {id, call}), {signal, closesOnAbort: true}));
 		if (response?.answer.case !== call.case) {
-			throw new Error(`The host at ${address} does not answer`);
+			throw new Error(`the host at ${address} sent no answer to the control call ${call.case}`);
 		}
 
 		return response.answer.value as unknown as AnswerValue<K>;
@@ -63,8 +63,8 @@
 
 	return {
 		exchange: async content => decodeExchange(await send({case: 'exchange', value: encodeExchange(content)})),
-		async borrow({isStandby, ...asked}) {
-			const value = create(BorrowRequestSchema, {...asked, standby: isStandby, settled: [...asked.settled]});
+		async borrow({isStandby, ...request}) {
+			const value = create(BorrowRequestSchema, {...request, standby: isStandby, settled: [...request.settled]});
 			const {
 				home, units, spanMs, retryAfterMs,
 			} = await send({case: 'borrow', value});
@@ -73,13 +73,13 @@
 		async requestStandby(workspace) {
 			await send({case: 'stand', value: create(StandRequestSchema, {workspace})});
 		},
-		async handOver(bucket) {
-			const loans = bucket.loans.map(({remainingMs, ...loan}) => ({...loan, leftMs: Math.ceil(remainingMs)}));
-			const {taken} = await send({case: 'handOver', value: create(HandOverRequestSchema, {...bucket, loans})});
+		async handOver(handover) {
+			const loans = handover.loans.map(({remainingMs, ...loan}) => ({...loan, leftMs: Math.ceil(remainingMs)}));
+			const {taken} = await send({case: 'handOver', value: create(HandOverRequestSchema, {...handover, loans})});
 			return taken;
 		},
 		forward: createForwarder(address, options),
-		passChange: async change => send({case: 'passChange', value: change}, changeTimeout),
+		passChange: async change => send({case: 'passChange', value: change}, changeTimeoutMs),
 		async confirm(database, term) {
 			const {suspected} = await send({case: 'confirm', value: create(ConfirmRequestSchema, {database, term})});
 			return suspected;
--- a/packages/hosts/decode-exchange.ts
+++ b/packages/hosts/decode-exchange.ts
@@ -1,7 +1,7 @@
 import type {ExchangeMessage} from '@sapphirefall/wire';
 import type {ExchangeContent} from './exchange-content.ts';
 
-/** Decodes what another host tells. */
+/** Decodes the state that another host sends in an exchange. */
 export function decodeExchange(message: ExchangeMessage): ExchangeContent {
 	return {
 		id: message.host,
--- a/packages/hosts/decode-forward-answer.ts
+++ b/packages/hosts/decode-forward-answer.ts
@@ -1,7 +1,7 @@
 import type {Answer, ResultCode} from '@sapphirefall/decisions';
 import {decodePoint, decodeResult, type ForwardResponse} from '@sapphirefall/wire';
 
-/** Decodes a gateway's answer; undefined when it holds none. */
+/** Decodes a gateway's answer to a forwarded request; undefined if the message contains none. */
 export function decodeForwardAnswer({answer}: ForwardResponse): Answer | undefined {
 	switch (answer.case) {
 		case 'done': {
--- a/packages/hosts/decode-forward.ts
+++ b/packages/hosts/decode-forward.ts
@@ -2,9 +2,10 @@
 import {decodePoint, decodeStatement, type ForwardRequest} from '@sapphirefall/wire';
 
 /**
- * Decodes a request that another host has admitted; undefined when it names no work.
+ * Decodes a request that another host has admitted; undefined if it contains neither a valid read nor a write.
  *
- * It counts as arriving now, which is later than at the other host, so what is proven from now holds for both.
+ * The arrival time is set to `now`, which is later than the arrival at the other host. A confirmation as of `now` or later
+ * therefore also covers the arrival at the other host.
  */
 export function decodeForward(message: ForwardRequest, now: number): AdmittedRequest | undefined {
 	const work = decodeWork(message.work);
--- a/packages/hosts/decode-job-answer.ts
+++ b/packages/hosts/decode-job-answer.ts
@@ -5,7 +5,7 @@
 
 type FailureCode = Extract<StatementOutcome, {readonly kind: 'failed'}>['code'];
 
-/** Decodes a gateway's answer to a job; undefined when it says nothing that is known here. */
+/** Decodes a gateway's answer to a job; undefined if the kind of result is unspecified. */
 export function decodeJobAnswer(message: RunJobResponse): JobAnswer | 'notServed' | undefined {
 	const {result, rows, signature, code, reason} = message;
 	switch (result) {
@@ -22,11 +22,11 @@
 		}
 
 		case JobResult.DONE: {
-			return {kind: 'answered', outcome: {kind: 'done', rows, signature}, ...decodeEnd(message)};
+			return {kind: 'answered', outcome: {kind: 'done', rows, signature}, ...decodeAnswerDetails(message)};
 		}
 
 		case JobResult.FAILED: {
-			return {kind: 'answered', outcome: {kind: 'failed', code: code as FailureCode, reason}, ...decodeEnd(message)};
+			return {kind: 'answered', outcome: {kind: 'failed', code: code as FailureCode, reason}, ...decodeAnswerDetails(message)};
 		}
 
 		case JobResult.UNSPECIFIED: {
@@ -35,7 +35,7 @@
 	}
 }
 
-function decodeEnd({state, position, transaction, spans}: RunJobResponse): Omit<Extract<JobAnswer, {readonly kind: 'answered'}>, 'kind' | 'outcome'> {
+function decodeAnswerDetails({state, position, transaction, spans}: RunJobResponse): Omit<Extract<JobAnswer, {readonly kind: 'answered'}>, 'kind' | 'outcome'> {
 	return {
 		state: state === JobState.IDLE ? 'idle' : (state === JobState.OPEN ? 'open' : 'failed'),
 		position: position && decodePoint(position),
--- a/packages/hosts/decode-job.ts
+++ b/packages/hosts/decode-job.ts
@@ -1,7 +1,7 @@
 import type {Job} from '@sapphirefall/sessions';
 import {decodePoint, JobKind, type RunJobRequest} from '@sapphirefall/wire';
 
-/** Decodes a job that another host sends to an instance through this one. */
+/** Decodes a job that another host sends to this host, the gateway of an instance. Throws if the kind of job is unspecified. */
 export function decodeJob(message: RunJobRequest): Job {
 	const base = {
 		workspace: message.workspace,
@@ -14,7 +14,7 @@
 	switch (message.kind) {
 		case JobKind.SINGLE: {
 			return {
-				...base, kind: 'single', ...decodeWork(message), after,
+				...base, kind: 'single', ...decodeQuery(message), after,
 			};
 		}
 
@@ -27,7 +27,7 @@
 
 		case JobKind.WITHIN: {
 			return {
-				...base, kind: 'within', transaction, ...decodeWork(message),
+				...base, kind: 'within', transaction, ...decodeQuery(message),
 			};
 		}
 
@@ -46,30 +46,30 @@
 		}
 
 		case JobKind.UNSPECIFIED: {
-			throw new Error('The job has no kind that is known here');
+			throw new Error('the kind of job is unspecified');
 		}
 	}
 }
 
-type Parts = Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>;
+type QueryParts = Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>;
 
-function decodeSetup({values, prepared}: RunJobRequest): Parts['setup'] {
+function decodeSetup({values, prepared}: RunJobRequest): QueryParts['setup'] {
 	return {
 		variables: new Map(Object.entries(values)),
-		prepared: new Map(prepared === undefined ? [] : [[prepared.name, {access: findAccess(prepared.isWrite), shape: prepared.shape}]]),
+		prepared: new Map(prepared === undefined ? [] : [[prepared.name, {access: decodeAccess(prepared.isWrite), shape: prepared.shape}]]),
 	};
 }
 
-function decodeWork(message: RunJobRequest): Parts {
+function decodeQuery(message: RunJobRequest): QueryParts {
 	const {id, text, isWrite, prepared, parameters} = message;
 	return {
 		setup: decodeSetup(message),
 		query: {
-			id, text, access: findAccess(isWrite), execute: prepared && {name: prepared.name, parameters},
+			id, text, access: decodeAccess(isWrite), execute: prepared && {name: prepared.name, parameters},
 		},
 	};
 }
 
-function findAccess(isWrite: boolean): Parts['query']['access'] {
+function decodeAccess(isWrite: boolean): QueryParts['query']['access'] {
 	return isWrite ? 'write' : 'read';
 }
--- a/packages/hosts/encode-exchange.ts
+++ b/packages/hosts/encode-exchange.ts
@@ -2,19 +2,20 @@
 import {ExchangeMessageSchema, type ExchangeMessage} from '@sapphirefall/wire';
 import type {ExchangeContent} from './exchange-content.ts';
 
-const longestAge = 0xFF_FF_FF_FF;
+/** Longest age in milliseconds that fits the 32 bits of the field. */
+const maxAgeMs = 0xFF_FF_FF_FF;
 
-/** Encodes what one host tells another. */
+/** Encodes the state that a host sends to another in an exchange. Ages are rounded up, so that they never seem younger. */
 export function encodeExchange(content: ExchangeContent): ExchangeMessage {
 	return create(ExchangeMessageSchema, {
 		host: content.id,
 		incarnation: BigInt(content.incarnation),
 		time: content.time,
 		configVersion: content.configurationVersion,
-		configAgeMs: Math.min(longestAge, Math.ceil(content.tableAgeMs)),
+		configAgeMs: Math.min(maxAgeMs, Math.ceil(content.tableAgeMs)),
 		configBody: content.configurationText,
 		head: content.head,
-		statements: content.confirmations.map(({id, ageMs}) => ({host: id, ageMs: Math.min(longestAge, Math.ceil(ageMs))})),
+		statements: content.confirmations.map(({id, ageMs}) => ({host: id, ageMs: Math.min(maxAgeMs, Math.ceil(ageMs))})),
 		viewDigest: content.primariesDigest,
 		views: content.primaries.map(primary => ({...primary})),
 		news: content.memberUpdates.map(({id, incarnation, isAlive}) => ({host: id, incarnation: BigInt(incarnation), alive: isAlive})),
--- a/packages/hosts/encode-forward-answer.ts
+++ b/packages/hosts/encode-forward-answer.ts
@@ -2,15 +2,15 @@
 import type {Answer} from '@sapphirefall/decisions';
 import {encodeResult, ForwardResponseSchema, type ForwardResponse} from '@sapphirefall/wire';
 
-/** Number of the request on the channel, and the sender's hybrid time. */
-type Frame = {readonly id: number; readonly time: bigint};
+/** Number of the request on the channel, and hybrid logical time of the sender. */
+type Header = {readonly id: number; readonly time: bigint};
 
-/** Encodes a gateway's answer. */
-export function encodeForwardAnswer(answer: Answer, frame: Frame): ForwardResponse {
+/** Encodes a gateway's answer to a forwarded request. */
+export function encodeForwardAnswer(answer: Answer, header: Header): ForwardResponse {
 	switch (answer.kind) {
 		case 'done': {
 			return create(ForwardResponseSchema, {
-				...frame,
+				...header,
 				answer: {
 					case: 'done',
 					value: {
@@ -25,12 +25,12 @@
 
 		case 'notRun': {
 			const {code, reason, retryAfter: retryAfterMs} = answer;
-			return create(ForwardResponseSchema, {...frame, answer: {case: 'notRun', value: {code, reason, retryAfterMs}}});
+			return create(ForwardResponseSchema, {...header, answer: {case: 'notRun', value: {code, reason, retryAfterMs}}});
 		}
 
 		case 'unknown': {
 			const {code, reason} = answer;
-			return create(ForwardResponseSchema, {...frame, answer: {case: 'unknown', value: {code, reason}}});
+			return create(ForwardResponseSchema, {...header, answer: {case: 'unknown', value: {code, reason}}});
 		}
 	}
 }
--- a/packages/hosts/encode-forward.ts
+++ b/packages/hosts/encode-forward.ts
@@ -5,10 +5,10 @@
 } from '@sapphirefall/wire';
 
 /**
- * Encodes an admitted request for its gateway.
+ * Encodes an admitted request that is forwarded to its gateway.
  *
- * @param request The request.
- * @param options Its number on the channel, the sender's hybrid time, and monotonic milliseconds.
+ * @param options Number of the request on the channel, hybrid logical time of the sender, and monotonic time in
+ * milliseconds, from which the remaining time of the request is computed.
  */
 export function encodeForward(
 	request: AdmittedRequest,
--- a/packages/hosts/encode-job-answer.ts
+++ b/packages/hosts/encode-job-answer.ts
@@ -6,9 +6,9 @@
 
 type Message = Exclude<MessageInitShape<typeof RunJobResponseSchema>, RunJobResponse>;
 
-const states = {idle: JobState.IDLE, open: JobState.OPEN, failed: JobState.FAILED};
+const jobStates = {idle: JobState.IDLE, open: JobState.OPEN, failed: JobState.FAILED};
 
-/** Encodes the answer to a job of another host. */
+/** Encodes the answer to another host's job. */
 export function encodeJobAnswer(answer: JobAnswer | 'notServed' | undefined): Message {
 	if (answer === undefined || answer === 'notServed') {
 		return {result: JobResult.NOT_SERVED};
@@ -29,7 +29,7 @@
 				...outcome.kind === 'done'
 					? {result: JobResult.DONE, rows: [...outcome.rows], signature: outcome.signature}
 					: {result: JobResult.FAILED, code: outcome.code, reason: outcome.reason},
-				state: states[state],
+				state: jobStates[state],
 				...position && {position},
 				...spans && {spans},
 				transaction: BigInt(transaction ?? 0),
--- a/packages/hosts/encode-job.test.ts
+++ b/packages/hosts/encode-job.test.ts
@@ -17,7 +17,7 @@
 	timeout: fc.double({min: 1, max: 60_000, noNaN: true}),
 };
 const variables = fc.array(fc.tuple(fc.string({minLength: 1}), fc.string()), {maxLength: 3}).map(entries => new Map(entries));
-const plainWork = fc.record({
+const plainQuery = fc.record({
 	id: fc.string(), text: fc.string(), access, execute: fc.constant(undefined),
 });
 const plainSetup = fc.record({variables, prepared: fc.constant(new Map())});
@@ -25,13 +25,13 @@
 const transaction = fc.nat(2 ** 30);
 const job: fc.Arbitrary<Job> = fc.oneof(
 	fc.record({
-		...base, kind: fc.constant('single' as const), setup: plainSetup, query: plainWork, after,
+		...base, kind: fc.constant('single' as const), setup: plainSetup, query: plainQuery, after,
 	}),
 	fc.record({
 		...base, kind: fc.constant('begin' as const), setup: plainSetup, isReadOnly: fc.boolean(), after, idleLimit: fc.nat(60_000),
 	}),
 	fc.record({
-		...base, kind: fc.constant('within' as const), transaction, setup: plainSetup, query: plainWork,
+		...base, kind: fc.constant('within' as const), transaction, setup: plainSetup, query: plainQuery,
 	}),
 	fc.record({
 		...base, kind: fc.constant('commit' as const), transaction, id: fc.string(), text: fc.string(),
@@ -57,22 +57,22 @@
 	}),
 );
 
-/** Sends a message as bytes. */
-function sendJob(sent: Job): Job {
+/** Encodes a job to bytes and decodes it again. */
+function roundTripJob(sent: Job): Job {
 	const message = create(RunJobRequestSchema, encodeJob({group: 'g', id: 'i'}, sent));
 	return decodeJob(fromBinary(RunJobRequestSchema, toBinary(RunJobRequestSchema, message)));
 }
 
 describe('encodeJob and decodeJob', () => {
-	it('carry any job between hosts unchanged', () => {
+	it('restore any job', () => {
 		fc.assert(fc.property(job, sent => {
-			expect(sendJob(sent)).to.deep.equal(sent);
+			expect(roundTripJob(sent)).to.deep.equal(sent);
 		}));
 	});
 
-	it('carry the prepared statement that a job runs, under the name that the session gave it', () => {
+	it('transfer only the prepared statement that the job executes, under its name in the session', () => {
 		const prepared = new Map([['s1', {access: 'write' as const, shape: 'q2c'}], ['s2', {access: 'read' as const, shape: 'q3'}]]);
-		const sent = sendJob({
+		const sent = roundTripJob({
 			kind: 'within',
 			transaction: 3,
 			workspace: 'upper',
@@ -92,7 +92,7 @@
 		});
 	});
 
-	it('carry any answer back unchanged', () => {
+	it('restore any answer', () => {
 		fc.assert(fc.property(answer, sent => {
 			const message = create(RunJobResponseSchema, encodeJobAnswer(sent));
 			expect(decodeJobAnswer(fromBinary(RunJobResponseSchema, toBinary(RunJobResponseSchema, message)))).to.deep.equal(sent);
--- a/packages/hosts/encode-job.ts
+++ b/packages/hosts/encode-job.ts
@@ -4,7 +4,7 @@
 
 type Message = Exclude<MessageInitShape<typeof RunJobRequestSchema>, RunJobRequest>;
 
-/** Encodes a job for the gateway of an instance. */
+/** Encodes a job for the gateway of an instance. Of the prepared statements, only the one that the job executes is sent. */
 export function encodeJob(instance: {readonly group: string; readonly id: string}, job: Job): Message {
 	return {
 		group: instance.group, instance: instance.id, ...encodeBase(job), ...encodeDetails(job),
@@ -23,7 +23,7 @@
 	switch (job.kind) {
 		case 'single': {
 			return {
-				kind: JobKind.SINGLE, ...encodeWork(job), ...job.after && {after: job.after},
+				kind: JobKind.SINGLE, ...encodeQueryParts(job), ...job.after && {after: job.after},
 			};
 		}
 
@@ -37,7 +37,7 @@
 		}
 
 		case 'within': {
-			return {kind: JobKind.WITHIN, transaction: BigInt(job.transaction), ...encodeWork(job)};
+			return {kind: JobKind.WITHIN, transaction: BigInt(job.transaction), ...encodeQueryParts(job)};
 		}
 
 		case 'commit': {
@@ -56,7 +56,7 @@
 	}
 }
 
-function encodeWork({setup, query}: Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>): Message {
+function encodeQueryParts({setup, query}: Pick<Extract<Job, {readonly kind: 'within'}>, 'setup' | 'query'>): Message {
 	const {id, text, access, execute} = query;
 	const prepared = execute && setup.prepared.get(execute.name);
 	return {
--- a/packages/hosts/encode-mark.ts
+++ b/packages/hosts/encode-mark.ts
@@ -2,7 +2,6 @@
 import type {TableMark} from '@sapphirefall/sessions';
 import type {TableMark as Message, TableMarkSchema} from '@sapphirefall/wire';
 
-/** Encodes the mark of a table's state. */
 export function encodeMark({newest, count}: TableMark): Exclude<MessageInitShape<typeof TableMarkSchema>, Message> {
 	return {newest: BigInt(newest), count};
 }
--- a/packages/hosts/exchange-content.ts
+++ b/packages/hosts/exchange-content.ts
@@ -1,23 +1,26 @@
 import type {GroupPrimary, MemberNews} from '@sapphirefall/decisions';
 
-/** What one host tells another in an exchange. */
+/** State that one host sends to another in an exchange. */
 export type ExchangeContent = {
+	/** Identifier of the sending host. */
 	readonly id: string;
+	/** Incarnation of the sending host. */
 	readonly incarnation: number;
 	readonly configurationVersion: number;
-	/** Version of the table row that holds the configuration's name and the roster. */
+	/** Version of the table row that names the configuration and holds the roster. */
 	readonly head: number;
-	/** Age in milliseconds of the proof that the head was the newest. */
+	/** Milliseconds since the head was confirmed as the newest. */
 	readonly tableAgeMs: number;
-	/** Text of configuration and roster; empty when the other side is not known to be behind. */
+	/** Configuration and roster as text; empty unless the receiver is known to have an older head. */
 	readonly configurationText: string;
-	/** The acceptors' word on the head, by age in milliseconds. */
+	/** Confirmations of the acceptors that they had committed nothing newer than the head, with their age in milliseconds. */
 	readonly confirmations: ReadonlyArray<{readonly id: string; readonly ageMs: number}>;
-	/** Digest over all primaries that are known. */
+	/** Digest of all primaries that the sender knows. */
 	readonly primariesDigest: string;
-	/** Empty when the other side's digest is not known to differ. */
+	/** Primaries that the sender knows; empty unless the receiver's digest is known to differ. */
 	readonly primaries: readonly GroupPrimary[];
+	/** Gossiped changes of hosts' liveness. */
 	readonly memberUpdates: readonly MemberNews[];
-	/** Hybrid logical time. */
+	/** Hybrid logical time of the sender. */
 	readonly time: bigint;
 };
--- a/packages/hosts/execute-forward.ts
+++ b/packages/hosts/execute-forward.ts
@@ -8,18 +8,19 @@
 import {encodeForwardAnswer} from './encode-forward-answer.ts';
 
 type Options = {
+	/** Executes an admitted request. */
 	readonly execute: (request: AdmittedRequest) => Promise<Answer>;
-	/** Orders what happens here after what the other host has seen. */
+	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Present monotonic milliseconds. */
+	/** Returns the monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
 /**
- * Executes a request that another host forwards, and answers a heartbeat.
+ * Executes a request that another host forwards, or answers a heartbeat.
  *
- * @param message What the other host sends.
- * @param options What executes a request, and the clocks.
+ * @param message Forwarded request or heartbeat.
+ * @param options Function that executes the request, and clocks.
  */
 export async function executeForward(message: ForwardRequest, options: Options): Promise<ForwardResponse> {
 	const {id, ping, time} = message;
@@ -28,12 +29,12 @@
 	}
 
 	options.clock.observe(time);
-	const answer = await executeDecoded(message, options);
+	const answer = await decodeAndExecute(message, options);
 	return encodeForwardAnswer(answer, {id, time: options.clock.tick()});
 }
 
-/** Executes a request; one that fails harms no other. */
-async function executeDecoded(message: ForwardRequest, options: Options): Promise<Answer> {
+/** Decodes and executes a request. An error becomes an answer, so that it does not end the stream and its other requests. */
+async function decodeAndExecute(message: ForwardRequest, options: Options): Promise<Answer> {
 	try {
 		const request = decodeForward(message, options.now());
 		return request === undefined
--- a/packages/hosts/peer.ts
+++ b/packages/hosts/peer.ts
@@ -5,19 +5,20 @@
 import type {BucketHandover} from './bucket-handover.ts';
 import type {ExchangeContent} from './exchange-content.ts';
 
-/** Another entry host. A call that gets no answer rejects. */
+/** Calls to another host. A call other than `forward` rejects if no answer arrives in time. */
 export type Peer = {
+	/** Sends state of this host and returns the state that the other host sends back. */
 	readonly exchange: (content: ExchangeContent) => Promise<ExchangeContent>;
-	/** Borrows units of a workspace; undefined when the other host is not its home. */
-	readonly borrow: (asked: LoanRequest) => Promise<LoanGrant | undefined>;
-	/** Asks the other host to keep a part of a workspace's bucket as the standby. */
+	/** Borrows units of a workspace; undefined if the other host does not lend them now. */
+	readonly borrow: (request: LoanRequest) => Promise<LoanGrant | undefined>;
+	/** Asks the other host to borrow a part of a workspace's token bucket, to lend it on as the standby host. */
 	readonly requestStandby: (workspace: string) => Promise<void>;
-	/** Hands a bucket over; false when the other host does not know yet that it is the home. */
-	readonly handOver: (bucket: BucketHandover) => Promise<boolean>;
-	/** Passes an operator's change on to an acceptor. */
+	/** Hands over a workspace's token bucket; false if the other host does not have the handover's version of the roster, or is not the home host in it. */
+	readonly handOver: (handover: BucketHandover) => Promise<boolean>;
+	/** Passes an operator's change on to the other host, an acceptor. */
 	readonly passChange: (change: ChangeRequest) => Promise<ChangeResponse>;
-	/** Sends an admitted request to be carried out; undefined when the answer was lost. */
+	/** Forwards an admitted request to its gateway; undefined if the answer was lost. */
 	readonly forward: (request: AdmittedRequest, signal: AbortSignal) => Promise<Answer | undefined>;
-	/** Asks whether the other host also misses the primary of a term. */
+	/** Asks whether the other host also suspects that the primary of a term has failed. */
 	readonly confirm: (database: string, term: number) => Promise<boolean>;
 };
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -38,9 +38,9 @@
 	/**
 	 * Requests the rows of the tables that changed, given what this host has of each table.
 	 *
-	 * The other host answers when rows change or the store confirms its tables again, and after `wait` milliseconds at the latest.
+	 * The other host answers when rows change or the store confirms its tables again, and after `waitMs` milliseconds at the latest.
 	 */
-	readonly readTables: (asked: ReadonlyMap<StoreTable, AskedTable>, wait: number) => Promise<PeerTables | undefined>;
+	readonly readTables: (requested: ReadonlyMap<StoreTable, AskedTable>, waitMs: number) => Promise<PeerTables | undefined>;
 	/** Claims shares of the workspaces' rates; `notAllocator` when the other host is not the rate allocator. */
 	readonly claimRates: (claims: Claims) => Promise<Shares | 'notAllocator' | undefined>;
 	/** Asks the host to release its lease on the primary of a group from before an epoch; resolves to true once it has. */
