--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -55,7 +55,7 @@
 		const response = await runWithTimeout(timeoutMs, async signal =>
 			sendControl(id => create(ControlRequestSchema, {id, call}), {signal, closesOnAbort: true}));
 		if (response?.answer.case !== call.case) {
-			throw new Error(`the host at ${address} sent no answer to the control call ${call.case}`);
+			throw new Error(`the host at ${address} sent no valid answer to a control call`);
 		}
 
 		return response.answer.value as unknown as AnswerValue<K>;
--- a/packages/hosts/open-call-connection.ts
+++ b/packages/hosts/open-call-connection.ts
@@ -88,7 +88,7 @@
 	const receive = (message: Uint8Array) => {
 		const response = options.decode(message);
 		if (response.id === 0 || response.id > lastId) {
-			throw new Error(`received an answer to call ${response.id}, but the last call sent is ${lastId}`);
+			throw new Error(`received an answer to call ${response.id}, which was never sent`);
 		}
 
 		// A call whose deadline has passed is no longer open, so its late answer is ignored.
