--- a/packages/hosts/encode-exchange.ts
+++ b/packages/hosts/encode-exchange.ts
@@ -5,7 +5,7 @@
 /** Longest age in milliseconds that fits the 32 bits of the field. */
 const maxAgeMs = 0xFF_FF_FF_FF;
 
-/** Encodes the state that a host sends to another in an exchange. Ages are rounded up, so that they never seem younger. */
+/** Encodes the state that a host sends to another in an exchange. Ages are rounded up and capped at the longest one that fits. */
 export function encodeExchange(content: ExchangeContent): ExchangeMessage {
 	return create(ExchangeMessageSchema, {
 		host: content.id,
