--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -54,14 +54,14 @@
 		return {
 			id: options.self,
 			incarnation: state.membership.incarnation,
-			version: state.configuration.version,
+			configurationVersion: state.configuration.version,
 			head: state.roster.head,
-			age: at - state.tableConfirmedAt,
-			fleet: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
-			statements: listConfirmations(state, {maxTableAgeMs: options.wordSpan, now: at}).map(({id, confirmedAt: given}) => ({id, age: at - given})),
-			digest,
-			primaries: other !== undefined && other.digest !== digest ? primaries : [],
-			news: listMemberUpdates(state, at),
+			tableAgeMs: at - state.tableConfirmedAt,
+			configurationText: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
+			confirmations: listConfirmations(state, {maxTableAgeMs: options.wordSpan, now: at}).map(({id, confirmedAt: given}) => ({id, ageMs: at - given})),
+			primariesDigest: digest,
+			primaries: other !== undefined && other.primariesDigest !== digest ? primaries : [],
+			memberUpdates: listMemberUpdates(state, at),
 			time: clock.tick(),
 		};
 	};
@@ -73,19 +73,19 @@
 			kind: 'exchanged',
 			id: content.id,
 			incarnation: content.incarnation,
-			version: content.version,
+			version: content.configurationVersion,
 			head: content.head,
-			fleet: content.fleet === '' ? undefined : parseFleet(content.fleet),
-			confirmations: content.statements.map(({id, age}) => ({id, confirmedAt: base - age})),
-			confirmedAt: base - content.age,
+			fleet: content.configurationText === '' ? undefined : parseFleet(content.configurationText),
+			confirmations: content.confirmations.map(({id, ageMs}) => ({id, confirmedAt: base - ageMs})),
+			confirmedAt: base - content.tableAgeMs,
 			primaries: content.primaries,
-			memberUpdates: content.news,
+			memberUpdates: content.memberUpdates,
 		});
 	};
 
 	const isLacking = (content: ExchangeContent) => {
 		const state = readState();
-		return content.head < state.roster.head || content.digest !== readPrimaries(state).digest;
+		return content.head < state.roster.head || content.primariesDigest !== readPrimaries(state).digest;
 	};
 
 	return {
