--- a/packages/proxy/_busy-retry.ts
+++ b/packages/proxy/_busy-retry-after-ms.ts
@@ -1,2 +1,2 @@
 /** Milliseconds after which a caller may try again when all connections are busy. */
-export const busyRetry = 200;
+export const busyRetryAfterMs = 200;
--- a/packages/proxy/_committed.ts
+++ b/packages/proxy/_committed-transaction.ts
@@ -1,7 +1,7 @@
 import type {LogPoint, SqlResult} from '@sapphirefall/decisions';
 
 /** A transaction that committed at the primary, with its results. */
-export type Committed = {
+export type CommittedTransaction = {
 	readonly kind: 'committed';
 	readonly results: readonly SqlResult[];
 	readonly at: LogPoint;
--- a/packages/proxy/_run-transaction.ts
+++ b/packages/proxy/_run-transaction.ts
@@ -3,10 +3,10 @@
 } from '@sapphirefall/decisions';
 import type {BatchOutcome} from '@sapphirefall/endpoints';
 import {formatResults, parseResults} from '@sapphirefall/wire';
-import {busyRetry} from './_busy-retry.ts';
+import {busyRetryAfterMs} from './_busy-retry-after-ms.ts';
 import {recordStatements} from './_idempotency-record.ts';
 import type {Attempt} from './_attempt.ts';
-import type {Committed} from './_committed.ts';
+import type {CommittedTransaction} from './_committed-transaction.ts';
 import type {ExecutionContext} from './execution-context.ts';
 import type {Transaction} from './_transaction.ts';
 
@@ -28,7 +28,7 @@
  *
  * @returns The committed transaction, or the answer or failure in which the attempt ended.
  */
-export async function runTransaction(transaction: Transaction): Promise<Committed | Attempt> {
+export async function runTransaction(transaction: Transaction): Promise<CommittedTransaction | Attempt> {
 	const {idempotencyKey} = transaction.request.work;
 	if (idempotencyKey === '') {
 		return runRepeatable(transaction);
@@ -43,7 +43,7 @@
 }
 
 /** Runs a write that may run twice, in one round trip. */
-async function runRepeatable(transaction: Transaction): Promise<Committed | Attempt> {
+async function runRepeatable(transaction: Transaction): Promise<CommittedTransaction | Attempt> {
 	const outcome = await send(transaction, {step: 'whole', statements: transaction.request.statements});
 	switch (outcome.kind) {
 		case 'ran': {
@@ -87,7 +87,7 @@
 async function runGuarded(
 	transaction: Transaction,
 	name: {readonly workspace: string; readonly key: string},
-): Promise<Committed | Attempt> {
+): Promise<CommittedTransaction | Attempt> {
 	const {statements} = transaction.request;
 	const fingerprint = hashRequest(statements);
 	const wallNow = transaction.context.wallNow();
@@ -126,7 +126,7 @@
 async function commit(
 	transaction: Transaction,
 	work: {readonly results: readonly SqlResult[]; readonly last: readonly SqlStatement[]},
-): Promise<Committed | Attempt> {
+): Promise<CommittedTransaction | Attempt> {
 	const outcome = await send(transaction, {step: 'commit', statements: work.last});
 	switch (outcome.kind) {
 		case 'ran': {
@@ -155,7 +155,7 @@
 		readonly missing: Attempt;
 		readonly step: 'whole' | 'rollback';
 	},
-): Promise<Committed | Attempt> {
+): Promise<CommittedTransaction | Attempt> {
 	const outcome = await send(transaction, {step: options.step, statements: [recordStatements.select(options.name)]});
 	if (outcome.kind !== 'ran') {
 		return {kind: 'failed', mayHaveRun: false, reason: 'the idempotency record could not be read'};
@@ -190,7 +190,7 @@
 		}
 
 		case 'busy': {
-			const refusal = createRefusal(resultCodes.connectionsBusy, {reason: 'the endpoint is busy', retryAfter: busyRetry});
+			const refusal = createRefusal(resultCodes.connectionsBusy, {reason: 'the endpoint is busy', retryAfter: busyRetryAfterMs});
 			return {kind: 'refused', answer: refusal};
 		}
 
--- a/packages/proxy/borrowed.ts
+++ b/packages/proxy/borrow-outcome.ts
@@ -1,5 +1,5 @@
 /** What came of asking for units. */
-export type Borrowed = {
+export type BorrowOutcome = {
 	/** Whether the home answered, or its standby lent. */
 	readonly isReached: boolean;
 	/** Milliseconds after which to ask again; 0 when units were lent. */
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -5,9 +5,9 @@
 import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
 import type {Metrics} from '@sapphirefall/operators';
 import type {HostFile} from '@sapphirefall/settings';
-import type {Borrowed} from './borrowed.ts';
+import type {BorrowOutcome} from './borrow-outcome.ts';
 import type {Borrower} from './borrower.ts';
-import type {BucketHomes} from './bucket-homes.ts';
+import type {HomeBuckets} from './home-buckets.ts';
 import type {FindPeer} from './find-peer.ts';
 
 type Options = {
@@ -18,7 +18,7 @@
 	readonly readState: () => HostState;
 	readonly findPeer: FindPeer;
 	/** Lends units when this host is the home or its standby itself. */
-	readonly lend: BucketHomes['lend'];
+	readonly lend: HomeBuckets['lend'];
 	readonly metrics: Metrics;
 	readonly now: () => number;
 };
@@ -31,7 +31,7 @@
 
 type Asked = Omit<BorrowAsked, 'host' | 'isStandby'>;
 
-const unreached: Borrowed = {isReached: false, retryAfter: homeRetry};
+const unreached: BorrowOutcome = {isReached: false, retryAfter: homeRetry};
 
 /**
  * Creates what borrows units from the homes of workspaces, and spends them.
@@ -43,7 +43,7 @@
 	const purses = new Map<string, LoanAccount>();
 	/** Until when the standby of a workspace is not asked again. */
 	const emptyUntil = new Map<string, number>();
-	const borrowing = new Map<string, Promise<Borrowed>>();
+	const borrowing = new Map<string, Promise<BorrowOutcome>>();
 
 	const isProven = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
 
@@ -70,7 +70,7 @@
 	};
 
 	/** Asks the home for units, and its standby when the home does not give them. */
-	const borrowNow = async ({workspace, cost}: AdmittedRequest): Promise<Borrowed> => {
+	const borrowNow = async ({workspace, cost}: AdmittedRequest): Promise<BorrowOutcome> => {
 		const state = options.readState();
 		const {account: purse, settled, id} = settleLoanAccount(readPurse(workspace));
 		purses.set(workspace, purse);
@@ -99,7 +99,7 @@
 		return answer;
 	};
 
-	const borrow = async (request: AdmittedRequest): Promise<Borrowed> => {
+	const borrow = async (request: AdmittedRequest): Promise<BorrowOutcome> => {
 		const known = borrowing.get(request.workspace);
 		if (known !== undefined) {
 			return known;
--- a/packages/proxy/create-loop.ts
+++ b/packages/proxy/create-control-loop.ts
@@ -25,7 +25,7 @@
  *
  * Events that come while a step is under way are taken in order after it.
  */
-export function createLoop(options: Options): Loop {
+export function createControlLoop(options: Options): Loop {
 	const emitter = new EventEmitter(); // eslint-disable-line unicorn/prefer-event-target -- what most listens to
 	const waiting: HostEvent[] = [];
 	let state = createHostState(options.host, options.incarnation);
--- a/packages/proxy/create-bucket-homes.test.ts
+++ b/packages/proxy/create-home-buckets.test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {createHostState, type HostState, type Roster} from '@sapphirefall/decisions';
-import {createBucketHomes} from './create-bucket-homes.ts';
+import {createHomeBuckets} from './create-home-buckets.ts';
 
 const settings = {
 	reserve: 0, reserveSpan: 600_000, loanSpan: 400, prefetch: 250, proofLimit: 1200, longestWait: 500, standby: 0.25, standbySpan: 4000,
@@ -23,7 +23,7 @@
 		homesKnownAt: 9900,
 		provenAt: clock.now,
 	});
-	const homes = createBucketHomes({
+	const homes = createHomeBuckets({
 		self: 'a', settings, readState, findPeer: () => undefined, now: () => clock.now,
 	});
 	const borrow = (id: number, needed: number) => homes.lend({
--- a/packages/proxy/create-bucket-homes.ts
+++ b/packages/proxy/create-home-buckets.ts
@@ -4,7 +4,7 @@
 } from '@sapphirefall/decisions';
 import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
 import type {HostFile} from '@sapphirefall/settings';
-import type {BucketHomes} from './bucket-homes.ts';
+import type {HomeBuckets} from './home-buckets.ts';
 import {driftMargin} from './drift-margin.ts';
 import type {FindPeer} from './find-peer.ts';
 
@@ -35,7 +35,7 @@
  *
  * A host that becomes a home waits until the one before it has stopped, unless that one hands its bucket over.
  */
-export function createBucketHomes(options: Options): BucketHomes {
+export function createHomeBuckets(options: Options): HomeBuckets {
 	const {self, settings, now} = options;
 	const homes = new Map<string, Home>();
 
--- a/packages/proxy/create-rate-gate.ts
+++ b/packages/proxy/create-rate-limiter.ts
@@ -5,7 +5,7 @@
 } from '@sapphirefall/decisions';
 import type {HostFile} from '@sapphirefall/settings';
 import type {Borrower} from './borrower.ts';
-import type {RateGate} from './rate-gate.ts';
+import type {RateLimiter} from './rate-limiter.ts';
 
 type Options = {
 	readonly self: string;
@@ -25,7 +25,7 @@
  * evenly over the roster, for when the home cannot be reached. Both parts hold only while this host can prove
  * that its roster is the newest, and a host that becomes a home waits until the one before it has stopped.
  */
-export function createRateGate(options: Options): RateGate {
+export function createRateLimiter(options: Options): RateLimiter {
 	const {self, settings, borrower, now} = options;
 	const reserves = new Map<string, TokenBucket>();
 	/** Until when requests of a workspace wait to their deadlines, since its home was lost. */
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -9,12 +9,12 @@
 import {executeRequest} from './execute-request.ts';
 import type {FindPeer} from './find-peer.ts';
 import type {GroupRuntime} from './group-runtime.ts';
-import type {RateGate} from './rate-gate.ts';
+import type {RateLimiter} from './rate-limiter.ts';
 
 type Options = {
 	readonly settings: HostFile;
 	readonly readState: () => HostState;
-	readonly rates: RateGate;
+	readonly rates: RateLimiter;
 	readonly findPeer: FindPeer;
 	readonly findGroup: (database: string) => GroupRuntime | undefined;
 	readonly demand: (database: string) => void;
--- a/packages/proxy/create-standby-stocks.ts
+++ b/packages/proxy/create-standby-loans.ts
@@ -4,7 +4,7 @@
 import type {HostFile} from '@sapphirefall/settings';
 import {driftMargin} from './drift-margin.ts';
 import type {FindPeer} from './find-peer.ts';
-import type {StandbyStocks} from './standby-stocks.ts';
+import type {StandbyLoans} from './standby-loans.ts';
 
 type Options = {
 	/** Names this process; another one after a restart. */
@@ -24,7 +24,7 @@
  * A stock is a loan from the home, which has taken it off the bucket; lending it on needs no proof of the roster.
  * Each renewal gives back what is left of the stock before.
  */
-export function createStandbyStocks(options: Options): StandbyStocks {
+export function createStandbyLoans(options: Options): StandbyLoans {
 	const {now, settings} = options;
 	const stocks = new Map<string, StandbyLoan>();
 	let lastId = 0;
--- a/packages/proxy/execute-write.ts
+++ b/packages/proxy/execute-write.ts
@@ -1,11 +1,11 @@
 import {
 	createRefusal, isCovered, resultCodes, type Answer,
 } from '@sapphirefall/decisions';
-import {busyRetry} from './_busy-retry.ts';
+import {busyRetryAfterMs} from './_busy-retry-after-ms.ts';
 import {repeatAttempts} from './_repeat-attempts.ts';
 import {runTransaction} from './_run-transaction.ts';
 import type {Attempt} from './_attempt.ts';
-import type {Committed} from './_committed.ts';
+import type {CommittedTransaction} from './_committed-transaction.ts';
 import type {ExecutionContext} from './execution-context.ts';
 import type {WriteRequest} from './_write-request.ts';
 
@@ -55,7 +55,7 @@
 function createBusy(context: ExecutionContext, request: WriteRequest): Attempt {
 	const isLate = context.now() >= request.deadline;
 	const refusal = createRefusal(resultCodes.connectionsBusy, {
-		reason: 'no connection to the primary came free before the deadline', retryAfter: busyRetry,
+		reason: 'no connection to the primary came free before the deadline', retryAfter: busyRetryAfterMs,
 	});
 	return isLate
 		? {kind: 'refused', answer: refusal}
@@ -64,7 +64,7 @@
 
 /** Waits until a majority holds the transaction in the term in which it committed. */
 async function acknowledge(
-	committed: Committed,
+	committed: CommittedTransaction,
 	options: {
 		readonly request: WriteRequest;
 		readonly context: ExecutionContext;
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -1,6 +1,6 @@
 import type {GroupView} from '@sapphirefall/decisions';
 import type {Commander, Connection} from '@sapphirefall/endpoints';
-import type {Scope} from './scope.ts';
+import type {AttemptScope} from './attempt-scope.ts';
 
 /** The connections, probes and waiting requests of one database group on this host. */
 export type GroupRuntime = {
@@ -28,7 +28,7 @@
 		find: (view: GroupView) => Found | undefined,
 		options: {readonly deadline: number; readonly isUrgent: boolean},
 	) => Promise<Found | undefined>;
-	readonly openScope: (term: number, deadline: number) => Scope;
+	readonly openScope: (term: number, deadline: number) => AttemptScope;
 	readonly findCommander: (instance: string) => Commander | undefined;
 	readonly close: () => void;
 };
--- a/packages/proxy/bucket-homes.ts
+++ b/packages/proxy/home-buckets.ts
@@ -2,7 +2,7 @@
 import type {BorrowAsked, BorrowGranted, HandedBucket} from '@sapphirefall/hosts';
 
 /** Keeps the buckets of the workspaces whose home this host is. */
-export type BucketHomes = {
+export type HomeBuckets = {
 	/** Whether this host lends for all workspaces whose home it is. */
 	readonly isReady: () => boolean;
 	/**
--- a/packages/proxy/mod.ts
+++ b/packages/proxy/mod.ts
@@ -1,13 +1,14 @@
 /** The proxy itself: requests, database groups, and the control loop that ties the peers to the decisions. */
+export type * from './attempt-scope.ts';
 export type * from './change-backend.ts';
 export * from './create-change-backend.ts';
+export * from './create-control-loop.ts';
 export * from './create-exchanger.ts';
 export * from './create-failover-runner.ts';
 export * from './create-group-runtime.ts';
-export * from './create-loop.ts';
 export * from './create-operator-backend.ts';
 export * from './create-peers.ts';
-export * from './create-rate-gate.ts';
+export * from './create-rate-limiter.ts';
 export * from './create-request-handler.ts';
 export * from './describe-configuration.ts';
 export * from './execute-read.ts';
@@ -17,7 +18,6 @@
 export type * from './find-peer.ts';
 export type * from './group-runtime.ts';
 export type * from './host-log.ts';
-export type * from './rate-gate.ts';
+export type * from './rate-limiter.ts';
 export type * from './running-host.ts';
-export type * from './scope.ts';
 export * from './start-host.ts';
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -8,16 +8,16 @@
 import type {HostFile} from '@sapphirefall/settings';
 import type {BorrowAsked} from '@sapphirefall/hosts';
 import {createBorrower} from './create-borrower.ts';
-import {createBucketHomes} from './create-bucket-homes.ts';
+import {createHomeBuckets} from './create-home-buckets.ts';
 import {createChangeBackend} from './create-change-backend.ts';
 import {createExchanger} from './create-exchanger.ts';
 import {createFailoverRunner} from './create-failover-runner.ts';
 import {createGroupRuntime} from './create-group-runtime.ts';
-import {createLoop} from './create-loop.ts';
+import {createControlLoop} from './create-control-loop.ts';
 import {createOperatorBackend} from './create-operator-backend.ts';
 import {createPeers} from './create-peers.ts';
-import {createRateGate} from './create-rate-gate.ts';
-import {createStandbyStocks} from './create-standby-stocks.ts';
+import {createRateLimiter} from './create-rate-limiter.ts';
+import {createStandbyLoans} from './create-standby-loans.ts';
 import {createRequestHandler} from './create-request-handler.ts';
 import type {GroupRuntime} from './group-runtime.ts';
 import type {HostLog} from './host-log.ts';
@@ -137,7 +137,7 @@
 		}
 	};
 
-	const loop = createLoop({
+	const loop = createControlLoop({
 		host: createSelf(settings),
 		incarnation,
 		settings: createHostSettings(settings),
@@ -159,10 +159,10 @@
 	const runFailover = createFailoverRunner({
 		owner, readState, dispatch, findGroup, findPeer, events, metrics, log, now,
 	});
-	const homes = createBucketHomes({
+	const homes = createHomeBuckets({
 		self, settings: settings.rate, readState, findPeer, now,
 	});
-	const stocks = createStandbyStocks({
+	const stocks = createStandbyLoans({
 		owner, settings: settings.rate, readState, findPeer, now,
 	});
 	const lend = (asked: BorrowAsked) => {
@@ -173,7 +173,7 @@
 	const borrower = createBorrower({
 		self, owner, settings: settings.rate, readState, findPeer, lend, metrics, now,
 	});
-	const rates = createRateGate({
+	const rates = createRateLimiter({
 		self, settings: settings.rate, readState, borrower, now,
 	});
 	const requests = createRequestHandler({
