--- a/daemons/run-serve.ts
+++ b/daemons/run-serve.ts
@@ -51,7 +51,7 @@
 		},
 		now: () => performance.now(),
 		wallNow: () => Date.now(),
-		onDrainAsked: askDrain,
+		onDrainRequested: askDrain,
 	});
 	const listeners = await openListeners(settings, host);
 	log.info('host: The host serves.');
--- a/packages/proxy/_committed-transaction.ts
+++ b/packages/proxy/_committed-transaction.ts
@@ -4,6 +4,6 @@
 export type CommittedTransaction = {
 	readonly kind: 'committed';
 	readonly results: readonly SqlResult[];
-	readonly at: LogPoint;
+	readonly point: LogPoint;
 	readonly isReplayed: boolean;
 };
--- a/packages/proxy/_run-transaction.ts
+++ b/packages/proxy/_run-transaction.ts
@@ -48,7 +48,7 @@
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: outcome.results, at: outcome.at, isReplayed: false,
+				kind: 'committed', results: outcome.results, point: outcome.at, isReplayed: false,
 			};
 		}
 
@@ -131,7 +131,7 @@
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: work.results, at: outcome.at, isReplayed: false,
+				kind: 'committed', results: work.results, point: outcome.at, isReplayed: false,
 			};
 		}
 
@@ -172,7 +172,7 @@
 	}
 
 	return {
-		kind: 'committed', results: parseResults(results), at: outcome.at, isReplayed: true,
+		kind: 'committed', results: parseResults(results), point: outcome.at, isReplayed: true,
 	};
 }
 
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -31,7 +31,7 @@
 
 type Asked = Omit<BorrowAsked, 'host' | 'isStandby'>;
 
-const unreached: BorrowOutcome = {isReached: false, retryAfter: homeRetry};
+const unreached: BorrowOutcome = {hasAnswer: false, retryAfter: homeRetry};
 
 /**
  * Creates what borrows units from the homes of workspaces, and spends them.
@@ -80,7 +80,7 @@
 		};
 		const granted = await askLender(findHome(workspace, state.roster.homes), asked);
 		if ((granted?.units ?? 0) > 0) {
-			return {isReached: true, retryAfter: 0};
+			return {hasAnswer: true, retryAfter: 0};
 		}
 
 		const answer = granted === undefined ? unreached : {isReached: true, retryAfter: granted.retryAfter};
@@ -92,7 +92,7 @@
 		purses.set(workspace, second.account);
 		const lent = await askLender(findStandby(workspace, state), {...asked, id: second.id, settled: []});
 		if ((lent?.units ?? 0) > 0) {
-			return {isReached: true, retryAfter: 0};
+			return {hasAnswer: true, retryAfter: 0};
 		}
 
 		emptyUntil.set(workspace, now() + standbyRetry);
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -157,7 +157,7 @@
 			}
 		},
 		probe,
-		async take(instance, demand) {
+		async acquire(instance, demand) {
 			const pool = findPool(instance, demand.isGateway ? 'gateway' : 'direct');
 			const connection = await pool?.take(demand);
 			if (connection !== undefined && pool !== undefined) {
@@ -166,7 +166,7 @@
 
 			return connection;
 		},
-		give(connection) {
+		release(connection) {
 			owners.get(connection)?.give(connection);
 		},
 		async waitFor(find, {deadline, isUrgent}) {
@@ -195,7 +195,7 @@
 				probeUrgently();
 			});
 		},
-		openScope(term, deadline) {
+		openAttempt(term, deadline) {
 			const controller = new AbortController();
 			const timer = setTimeout(() => {
 				controller.abort();
--- a/packages/proxy/create-rate-limiter.ts
+++ b/packages/proxy/create-rate-limiter.ts
@@ -61,7 +61,7 @@
 				}
 
 				isFirst = false;
-				const {isReached, retryAfter} = await borrower.borrow(request); // eslint-disable-line no-await-in-loop -- the answer decides
+				const {hasAnswer: isReached, retryAfter} = await borrower.borrow(request); // eslint-disable-line no-await-in-loop -- the answer decides
 				if (borrower.spend(request, isFirst) || (retryAfter > 0 && spendReserve(request))) {
 					return undefined;
 				}
--- a/packages/proxy/create-standby-loans.ts
+++ b/packages/proxy/create-standby-loans.ts
@@ -50,7 +50,7 @@
 	};
 
 	return {
-		stand(workspace) {
+		renew(workspace) {
 			void renew(workspace);
 		},
 		lend(asked) {
--- a/packages/proxy/execute-read.ts
+++ b/packages/proxy/execute-read.ts
@@ -88,9 +88,9 @@
 	const {instance, term} = options.plan;
 	const now = context.now();
 	const deadline = now + Math.min(longestWait, (request.deadline - now) * waitShare);
-	const scope = context.group.openScope(term, request.deadline);
+	const scope = context.group.openAttempt(term, request.deadline);
 	try {
-		const connection = await context.group.take(instance, {
+		const connection = await context.group.acquire(instance, {
 			...request, deadline, isGateway: context.isGateway, signal: scope.signal,
 		});
 		if (connection === undefined) {
@@ -100,7 +100,7 @@
 		const outcome = await connection.run({
 			term, isReadOnly: true, step: 'whole', statements: request.statements,
 		}, scope.signal);
-		context.group.give(connection);
+		context.group.release(connection);
 		switch (outcome.kind) {
 			case 'ran': {
 				return {
--- a/packages/proxy/execute-write.ts
+++ b/packages/proxy/execute-write.ts
@@ -31,9 +31,9 @@
 	}
 
 	const {instance, term} = primary;
-	const scope = group.openScope(term, deadline);
+	const scope = group.openAttempt(term, deadline);
 	try {
-		const connection = await group.take(instance, {...request, isGateway: context.isGateway, signal: scope.signal});
+		const connection = await group.acquire(instance, {...request, isGateway: context.isGateway, signal: scope.signal});
 		if (connection === undefined) {
 			return createBusy(context, request);
 		}
@@ -41,7 +41,7 @@
 		const outcome = await runTransaction({
 			request, context, connection, term, signal: scope.signal,
 		});
-		group.give(connection);
+		group.release(connection);
 		return outcome.kind === 'committed'
 			? await acknowledge(outcome, {
 				request, context, term, instance,
@@ -73,7 +73,7 @@
 	},
 ): Promise<Attempt> {
 	const {request, context, term, instance} = options;
-	const {at} = committed;
+	const {point: at} = committed;
 	const settled = await context.group.waitFor(view => {
 		if (view.term > term) {
 			return 'replaced';
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -10,7 +10,7 @@
 	readonly update: (view: GroupView) => void;
 	/** Sends a probe to every instance. */
 	readonly probe: () => void;
-	readonly take: (instance: string, demand: {
+	readonly acquire: (instance: string, demand: {
 		readonly workspace: string;
 		readonly cost: number;
 		/** Whether to use the gateway's connections or the few that any host may open. */
@@ -18,7 +18,7 @@
 		readonly deadline: number;
 		readonly signal: AbortSignal;
 	}) => Promise<Connection | undefined>;
-	readonly give: (connection: Connection) => void;
+	readonly release: (connection: Connection) => void;
 	/**
 	 * Waits until the view holds what is looked for; undefined after the deadline.
 	 *
@@ -28,7 +28,7 @@
 		find: (view: GroupView) => Found | undefined,
 		options: {readonly deadline: number; readonly isUrgent: boolean},
 	) => Promise<Found | undefined>;
-	readonly openScope: (term: number, deadline: number) => AttemptScope;
+	readonly openAttempt: (term: number, deadline: number) => AttemptScope;
 	readonly findCommander: (instance: string) => Commander | undefined;
 	readonly close: () => void;
 };
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -32,7 +32,7 @@
 	/** Present wall-clock milliseconds. */
 	readonly wallNow: () => number;
 	/** Called when an operator asks the host to drain. */
-	readonly onDrainAsked: () => void;
+	readonly onDrainRequested: () => void;
 };
 
 /**
@@ -205,7 +205,7 @@
 		countRunning: requests.countRunning,
 		areRatesReady: homes.isReady,
 		staleAfter: settings.keys.staleAfter,
-		drain: options.onDrainAsked,
+		drain: options.onDrainRequested,
 		now,
 	});
 
@@ -221,7 +221,7 @@
 		clock,
 		now,
 		lend,
-		stand: stocks.stand,
+		stand: stocks.renew,
 		takeOver: homes.takeOver,
 		takeChange: changes.takeChange,
 		confirm(database, term) {
