--- a/packages/proxy/_attempt.ts
+++ b/packages/proxy/_attempt.ts
@@ -1,11 +1,11 @@
 import type {Answer} from '@sapphirefall/decisions';
 
 /**
- * What one attempt at a request led to.
+ * Outcome of one attempt to execute a request.
  *
- * `answered`: the answer, which also settles what became of the attempts before. `refused`: the answer of an
- * attempt that did not reach the database, is not to be repeated, and says nothing of the attempts before.
- * `failed`: no answer; the statement may have run when `mayHaveRun` is set, and another attempt may succeed.
+ * `answered`: the final answer, which also holds for all earlier attempts. `refused`: the attempt did not reach the
+ * database and must not be repeated; its answer tells nothing about earlier attempts. `failed`: no answer, and
+ * another attempt may succeed; `mayHaveRun` tells whether the statements may have run.
  */
 export type Attempt =
 	| {readonly kind: 'answered' | 'refused'; readonly answer: Answer}
--- a/packages/proxy/_busy-retry-after-ms.ts
+++ b/packages/proxy/_busy-retry-after-ms.ts
@@ -1,2 +1,2 @@
-/** Milliseconds after which a caller may try again when all connections are busy. */
+/** Milliseconds after which a caller may retry when all connections are in use. */
 export const busyRetryAfterMs = 200;
--- a/packages/proxy/_idempotency-record.ts
+++ b/packages/proxy/_idempotency-record.ts
@@ -1,19 +1,25 @@
 import type {SqlStatement} from '@sapphirefall/decisions';
 
-/** Names the record of a write; the workspace is part of the name, so that workspaces cannot meet. */
-type RecordName = {readonly workspace: string; readonly key: string};
+/** Identifies the record of a write. The workspace is part of it, so that equal keys of two workspaces do not collide. */
+type RecordId = {readonly workspace: string; readonly key: string};
 
 type RecordStatements = {
 	readonly prepare: SqlStatement;
-	/** Claims the key; changes no row when the key was claimed before. */
-	readonly claim: (name: RecordName, options: {readonly fingerprint: string; readonly wallNow: number}) => SqlStatement;
-	readonly store: (name: RecordName, results: string) => SqlStatement;
-	readonly select: (name: RecordName) => SqlStatement;
-	/** Deletes records that were created before a wall-clock time in milliseconds. */
+	/** Inserts the record; changes no row when the key already has one. */
+	readonly claim: (id: RecordId, options: {readonly fingerprint: string; readonly wallNow: number}) => SqlStatement;
+	/** Stores the encoded results in the record. */
+	readonly store: (id: RecordId, results: string) => SqlStatement;
+	readonly select: (id: RecordId) => SqlStatement;
+	/** Deletes the records created before a wall-clock time in milliseconds. */
 	readonly expire: (before: number) => SqlStatement;
 };
 
-/** SQL of the idempotency records, which live beside the work and are replicated and truncated with it. */
+/**
+ * SQL statements for idempotency records.
+ *
+ * The records are stored in the database that the request writes to, so that they are replicated, and truncated at a
+ * failover, together with its writes.
+ */
 export const recordStatements: RecordStatements = {
 	prepare: {
 		sql: 'CREATE TABLE IF NOT EXISTS sapphirefall_idempotency (workspace TEXT NOT NULL, key TEXT NOT NULL, '
--- a/packages/proxy/_repeat-attempts.ts
+++ b/packages/proxy/_repeat-attempts.ts
@@ -5,16 +5,17 @@
 import type {Attempt} from './_attempt.ts';
 import type {ExecutionContext} from './execution-context.ts';
 
-/** Milliseconds between two attempts while nothing else holds the next one up. */
-const pause = 20;
+/** Least milliseconds between two attempts, for those that fail at once. */
+const attemptDelayMs = 20;
 
-/** Milliseconds after which a caller may try again when the primary was not there. */
-const retryAfter = 1000;
+/** Milliseconds after which a caller may retry when no primary was available. */
+const unavailableRetryAfterMs = 1000;
 
 /**
- * Repeats attempts until one gives an answer, the deadline passes, or the retry budget is used up.
+ * Repeats attempts until one is answered or refused, the deadline passes, or the retry budget is used up.
  *
- * Once an attempt may have run, the request cannot end as "not run" except by an attempt that settles it.
+ * Once an attempt may have run, the answer is "unknown" instead of "not run", unless a later attempt was answered and
+ * so tells what became of the earlier ones.
  */
 export async function repeatAttempts(
 	request: AdmittedRequest,
@@ -24,7 +25,7 @@
 	let mayHaveRun = false;
 	let reason = 'no primary is known';
 	do {
-		const outcome = await attempt(); // eslint-disable-line no-await-in-loop -- attempts follow each other
+		const outcome = await attempt(); // eslint-disable-line no-await-in-loop -- attempts run one after the other
 		if (outcome.kind === 'refused' && mayHaveRun) {
 			return {kind: 'unknown', code: resultCodes.answerLost, reason};
 		}
@@ -40,10 +41,10 @@
 			break;
 		}
 
-		await sleep(pause); // eslint-disable-line no-await-in-loop -- attempts follow each other
+		await sleep(attemptDelayMs); // eslint-disable-line no-await-in-loop -- attempts run one after the other
 	} while (context.now() < request.deadline);
 
 	return mayHaveRun
 		? {kind: 'unknown', code: resultCodes.deadlinePassed, reason}
-		: createRefusal(resultCodes.primaryUnavailable, {reason, retryAfter});
+		: createRefusal(resultCodes.primaryUnavailable, {reason, retryAfter: unavailableRetryAfterMs});
 }
--- a/packages/proxy/_run-transaction.ts
+++ b/packages/proxy/_run-transaction.ts
@@ -10,40 +10,41 @@
 import type {ExecutionContext} from './execution-context.ts';
 import type {Transaction} from './_transaction.ts';
 
-/** What this host has done to the idempotency records of a group. */
-type RecordTable = {
-	/** The term in which the table was last seen to exist. */
+/** State of this host about the table of idempotency records of a group. */
+type RecordTableState = {
+	/** Latest term in which this host found or created the table; a failover may have truncated its creation. */
 	preparedTerm: number;
-	/** Records written. */
-	claims: number;
+	/** Records that this host has inserted. */
+	claimCount: number;
 };
 
-/** Records written between two deletions of expired ones. */
-const expiryPeriod = 1000;
+/** Number of records inserted between two deletions of expired ones. */
+const claimsPerExpiry = 1000;
 
-const tables = new WeakMap<ExecutionContext['group'], RecordTable>();
+const recordTables = new WeakMap<ExecutionContext['group'], RecordTableState>();
 
 /**
- * Runs a write at the primary, with its idempotency record in the same transaction unless it may run twice.
+ * Runs a write at the primary. A write with an idempotency key stores its record in the same transaction; without a
+ * key the write may run twice.
  *
- * @returns The committed transaction, or the answer or failure in which the attempt ended.
+ * @returns The committed transaction, or the outcome of an attempt that did not commit.
  */
 export async function runTransaction(transaction: Transaction): Promise<CommittedTransaction | Attempt> {
 	const {idempotencyKey} = transaction.request.work;
 	if (idempotencyKey === '') {
-		return runRepeatable(transaction);
+		return runWithoutRecord(transaction);
 	}
 
-	const isPrepared = await prepare(transaction);
+	const isPrepared = await prepareTable(transaction);
 	if (!isPrepared) {
 		return {kind: 'failed', mayHaveRun: false, reason: 'the idempotency table could not be prepared'};
 	}
 
-	return runGuarded(transaction, {workspace: transaction.request.workspace, key: idempotencyKey});
+	return runWithRecord(transaction, {workspace: transaction.request.workspace, key: idempotencyKey});
 }
 
-/** Runs a write that may run twice, in one round trip. */
-async function runRepeatable(transaction: Transaction): Promise<CommittedTransaction | Attempt> {
+/** Runs a write that has no idempotency key, in one round trip. */
+async function runWithoutRecord(transaction: Transaction): Promise<CommittedTransaction | Attempt> {
 	const outcome = await send(transaction, {step: 'whole', statements: transaction.request.statements});
 	switch (outcome.kind) {
 		case 'ran': {
@@ -53,7 +54,7 @@
 		}
 
 		case 'refused': {
-			return answerFault(outcome);
+			return createFaultAttempt(outcome);
 		}
 
 		case 'lost': {
@@ -62,9 +63,9 @@
 	}
 }
 
-/** Creates the table of idempotency records once a term. */
-async function prepare(transaction: Transaction): Promise<boolean> {
-	const table = findTable(transaction);
+/** Creates the table of idempotency records, unless that was done in this term. Returns whether it exists. */
+async function prepareTable(transaction: Transaction): Promise<boolean> {
+	const table = findRecordTable(transaction);
 	if (table.preparedTerm !== transaction.term) {
 		const outcome = await send(transaction, {step: 'whole', statements: [recordStatements.prepare]});
 		if (outcome.kind !== 'ran') {
@@ -77,14 +78,18 @@
 	return true;
 }
 
-function findTable({context}: Transaction): RecordTable {
-	const table = tables.get(context.group) ?? {preparedTerm: -1, claims: 0};
-	tables.set(context.group, table);
+function findRecordTable({context}: Transaction): RecordTableState {
+	const table = recordTables.get(context.group) ?? {preparedTerm: -1, claimCount: 0};
+	recordTables.set(context.group, table);
 	return table;
 }
 
-/** Runs a write together with its idempotency record. Until the commit is sent, a lost answer means "not run". */
-async function runGuarded(
+/**
+ * Runs a write and inserts its idempotency record in the same transaction.
+ *
+ * A lost answer means "not run" until the commit is sent.
+ */
+async function runWithRecord(
 	transaction: Transaction,
 	name: {readonly workspace: string; readonly key: string},
 ): Promise<CommittedTransaction | Attempt> {
@@ -100,43 +105,47 @@
 	if (begun.kind === 'refused') {
 		return begun.fault === 'statement'
 			? replay(transaction, {
-				name, fingerprint, missing: answerFault(begun), step: 'whole',
+				name, fingerprint, ifMissing: createFaultAttempt(begun), step: 'whole',
 			})
-			: answerFault(begun);
+			: createFaultAttempt(begun);
 	}
 
 	const [claimed, ...results] = begun.results;
 	if (claimed?.changes !== 1) {
-		const missing: Attempt = {kind: 'failed', mayHaveRun: false, reason: 'the idempotency record expired'};
+		const ifMissing: Attempt = {kind: 'failed', mayHaveRun: false, reason: 'the idempotency record expired'};
 		return replay(transaction, {
-			name, fingerprint, missing, step: 'rollback',
+			name, fingerprint, ifMissing, step: 'rollback',
 		});
 	}
 
-	return commit(transaction, {results, last: [recordStatements.store(name, formatResults(results)), ...listExpiry(transaction, wallNow)]});
+	return commit(transaction, {results, finalStatements: [recordStatements.store(name, formatResults(results)), ...listExpiryStatements(transaction, wallNow)]});
 }
 
-/** Lists the deletion of expired records when it is due. */
-function listExpiry(transaction: Transaction, wallNow: number): readonly SqlStatement[] {
-	const table = findTable(transaction);
-	table.claims++;
-	return table.claims % expiryPeriod === 0 ? [recordStatements.expire(wallNow - transaction.context.retention)] : [];
+/** Lists the statement that deletes expired records, once per `claimsPerExpiry` records. */
+function listExpiryStatements(transaction: Transaction, wallNow: number): readonly SqlStatement[] {
+	const table = findRecordTable(transaction);
+	table.claimCount++;
+	return table.claimCount % claimsPerExpiry === 0 ? [recordStatements.expire(wallNow - transaction.context.retention)] : [];
 }
 
 async function commit(
 	transaction: Transaction,
-	work: {readonly results: readonly SqlResult[]; readonly last: readonly SqlStatement[]},
+	options: {
+		readonly results: readonly SqlResult[];
+		/** Statements that run before the commit. */
+		readonly finalStatements: readonly SqlStatement[];
+	},
 ): Promise<CommittedTransaction | Attempt> {
-	const outcome = await send(transaction, {step: 'commit', statements: work.last});
+	const outcome = await send(transaction, {step: 'commit', statements: options.finalStatements});
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: work.results, point: outcome.at, isReplayed: false,
+				kind: 'committed', results: options.results, point: outcome.at, isReplayed: false,
 			};
 		}
 
 		case 'refused': {
-			return answerFault(outcome);
+			return createFaultAttempt(outcome);
 		}
 
 		case 'lost': {
@@ -145,14 +154,14 @@
 	}
 }
 
-/** Answers a repeat from the record of the first run. */
+/** Answers a repeated request with the results in the record of the first run. */
 async function replay(
 	transaction: Transaction,
 	options: {
 		readonly name: {readonly workspace: string; readonly key: string};
 		readonly fingerprint: string;
-		/** What to return when there is no record. */
-		readonly missing: Attempt;
+		/** Outcome to return when there is no record. */
+		readonly ifMissing: Attempt;
 		readonly step: 'whole' | 'rollback';
 	},
 ): Promise<CommittedTransaction | Attempt> {
@@ -163,7 +172,7 @@
 
 	const [fingerprint, results] = outcome.results[0]?.rows[0] ?? [];
 	if (typeof fingerprint !== 'string' || typeof results !== 'string') {
-		return options.missing;
+		return options.ifMissing;
 	}
 
 	if (fingerprint !== options.fingerprint) {
@@ -183,7 +192,7 @@
 	return transaction.connection.run({...batch, term: transaction.term, isReadOnly: false}, transaction.signal);
 }
 
-function answerFault(outcome: Extract<BatchOutcome, {readonly kind: 'refused'}>): Attempt {
+function createFaultAttempt(outcome: Extract<BatchOutcome, {readonly kind: 'refused'}>): Attempt {
 	switch (outcome.fault) {
 		case 'statement': {
 			return {kind: 'answered', answer: createRefusal(resultCodes.statementFailed, {reason: outcome.message})};
--- a/packages/proxy/_write-request.ts
+++ b/packages/proxy/_write-request.ts
@@ -1,4 +1,4 @@
 import type {AdmittedRequest} from '@sapphirefall/decisions';
 
-/** An admitted request that writes. */
+/** An admitted write. */
 export type WriteRequest = AdmittedRequest & {readonly work: {readonly kind: 'write'}};
--- a/packages/proxy/attempt-scope.ts
+++ b/packages/proxy/attempt-scope.ts
@@ -1,6 +1,6 @@
-/** Bounds one attempt of a request: its signal aborts when the term ends or the deadline passes. */
+/** Limits one attempt at a request: the signal aborts when the term ends or the deadline passes. */
 export type AttemptScope = {
 	readonly signal: AbortSignal;
-	/** Ends the scope without an abort. */
+	/** Ends the attempt without aborting the signal. */
 	readonly close: () => void;
 };
--- a/packages/proxy/borrow-outcome.ts
+++ b/packages/proxy/borrow-outcome.ts
@@ -1,7 +1,7 @@
-/** What came of asking for units. */
+/** Outcome of a request to borrow units. */
 export type BorrowOutcome = {
-	/** Whether the home answered, or its standby lent. */
+	/** Whether the home host answered, or its standby host lent units. */
 	readonly hasAnswer: boolean;
-	/** Milliseconds after which to ask again; 0 when units were lent. */
+	/** Milliseconds after which to retry; 0 when units were lent. */
 	readonly retryAfter: number;
 };
--- a/packages/proxy/change-backend.ts
+++ b/packages/proxy/change-backend.ts
@@ -4,13 +4,14 @@
 
 type Outcome = MessageInitShape<typeof ChangeResponseSchema>;
 
-/** Commits changes through the platform's table, here or at an acceptor. */
+/** Commits changes to the platform's table, from this host or through an acceptor. */
 export type ChangeBackend = {
-	/** Commits an operator's change; passes it on when this host is no acceptor. */
+	/** Commits an operator's change; forwards it to an acceptor when this host is not one. */
 	readonly change: (request: ChangeRequest, change: Change) => Promise<Outcome>;
-	/** Commits a change that another host passed on. */
+	/** Commits a change that another host forwarded. */
 	readonly takeChange: (request: ChangeRequest) => Promise<Outcome>;
+	/** Commits a roster, unless the table has changed since this host's version. */
 	readonly changeRoster: (roster: Omit<FleetConfiguration['roster'], 'head' | 'epoch'>) => Promise<void>;
-	/** Reads the table and takes in what it holds. */
+	/** Reads the table and dispatches its content to the control loop; false when the read fails. */
 	readonly readVersion: () => Promise<boolean>;
 };
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -12,46 +12,48 @@
 
 type Options = {
 	readonly self: string;
-	/** Names this process; another one after a restart. */
+	/** Identifies this process; a restarted host is another one. */
 	readonly owner: string;
 	readonly settings: HostFile['rate'];
 	readonly readState: () => HostState;
 	readonly findPeer: FindPeer;
-	/** Lends units when this host is the home or its standby itself. */
+	/** Lends units from this host, when it is the home or standby host itself. */
 	readonly lend: HomeBuckets['lend'];
 	readonly metrics: Metrics;
 	readonly now: () => number;
 };
 
-/** Milliseconds before the next request to a home that did not answer. */
-const homeRetry = 100;
+/** Milliseconds before the next call to a home host that did not answer. */
+const homeRetryMs = 100;
 
-/** Milliseconds before the next request to a standby that had nothing to lend. */
-const standbyRetry = 250;
+/** Milliseconds before the next call to a standby host that lent nothing. */
+const standbyRetryMs = 250;
 
-type Asked = Omit<BorrowAsked, 'host' | 'isStandby'>;
+type LoanRequest = Omit<BorrowAsked, 'host' | 'isStandby'>;
 
-const unreached: BorrowOutcome = {hasAnswer: false, retryAfter: homeRetry};
+const notAnswered: BorrowOutcome = {hasAnswer: false, retryAfter: homeRetryMs};
 
 /**
- * Creates what borrows units from the homes of workspaces, and spends them.
+ * Creates the borrower, which borrows units from the home hosts of workspaces and spends them.
  *
- * Units may be spent only while this host can prove that its roster is the newest.
+ * Units may be spent only while this host's roster was confirmed to be the newest within `proofLimit`: a new home host
+ * waits that long before it lends.
  */
 export function createBorrower(options: Options): Borrower {
 	const {self, settings, now} = options;
-	const purses = new Map<string, LoanAccount>();
-	/** Until when the standby of a workspace is not asked again. */
-	const emptyUntil = new Map<string, number>();
-	const borrowing = new Map<string, Promise<BorrowOutcome>>();
+	const accounts = new Map<string, LoanAccount>();
+	/** Monotonic milliseconds until which the standby host of a workspace is not asked again, by workspace. */
+	const standbyBackoffUntil = new Map<string, number>();
+	/** Calls in flight, by workspace. */
+	const inFlight = new Map<string, Promise<BorrowOutcome>>();
 
-	const isProven = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
+	const isRosterCurrent = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
 
-	const readPurse = (workspace: string) => purses.get(workspace) ?? createLoanAccount(now());
+	const readAccount = (workspace: string) => accounts.get(workspace) ?? createLoanAccount(now());
 
-	/** Asks a host for units, and puts them into the purse; undefined when it does not answer or does not lend. */
-	const askLender = async (lender: string | undefined, asked: Asked): Promise<BorrowGranted | undefined> => {
-		const askedAt = now();
+	/** Borrows units from a host and adds the loan to the account; undefined when the host does not answer or may not lend. */
+	const borrowFrom = async (lender: string | undefined, request: LoanRequest): Promise<BorrowGranted | undefined> => {
+		const requestedAt = now();
 		const isAlive = options.readState().membership.members.get(lender ?? '')?.isAlive ?? true;
 		if (lender === undefined || !isAlive) {
 			return undefined;
@@ -59,68 +61,68 @@
 
 		options.metrics.borrows.inc({place: lender === self ? 'own' : 'other'});
 		try {
-			const request = {...asked, host: options.owner, isStandby: false};
-			const granted = lender === self ? options.lend(request) : await options.findPeer(lender)?.borrow(request);
-			const loan = {id: asked.id, units: granted?.units ?? 0, expiresAt: askedAt + (granted?.span ?? 0)};
-			purses.set(asked.workspace, addLoan(readPurse(asked.workspace), loan));
+			const fullRequest = {...request, host: options.owner, isStandby: false};
+			const granted = lender === self ? options.lend(fullRequest) : await options.findPeer(lender)?.borrow(fullRequest);
+			const loan = {id: request.id, units: granted?.units ?? 0, expiresAt: requestedAt + (granted?.span ?? 0)};
+			accounts.set(request.workspace, addLoan(readAccount(request.workspace), loan));
 			return granted;
 		} catch {
 			return undefined;
 		}
 	};
 
-	/** Asks the home for units, and its standby when the home does not give them. */
-	const borrowNow = async ({workspace, cost}: AdmittedRequest): Promise<BorrowOutcome> => {
+	/** Borrows units from the home host, or from the standby host when the home host lends none. */
+	const borrowFromAny = async ({workspace, cost}: AdmittedRequest): Promise<BorrowOutcome> => {
 		const state = options.readState();
-		const {account: purse, settled, id} = settleLoanAccount(readPurse(workspace));
-		purses.set(workspace, purse);
-		const wanted = cost + (purse.demand * settings.prefetch / 1000);
-		const asked = {
+		const {account, settled, id} = settleLoanAccount(readAccount(workspace));
+		accounts.set(workspace, account);
+		const wanted = cost + (account.demand * settings.prefetch / 1000);
+		const request = {
 			id, workspace, needed: cost, wanted, settled,
 		};
-		const granted = await askLender(findHome(workspace, state.roster.homes), asked);
+		const granted = await borrowFrom(findHome(workspace, state.roster.homes), request);
 		if ((granted?.units ?? 0) > 0) {
 			return {hasAnswer: true, retryAfter: 0};
 		}
 
-		const answer = granted === undefined ? unreached : {isReached: true, retryAfter: granted.retryAfter};
-		if (now() < (emptyUntil.get(workspace) ?? 0)) {
+		const answer = granted === undefined ? notAnswered : {hasAnswer: true, retryAfter: granted.retryAfter};
+		if (now() < (standbyBackoffUntil.get(workspace) ?? 0)) {
 			return answer;
 		}
 
-		const second = settleLoanAccount(readPurse(workspace));
-		purses.set(workspace, second.account);
-		const lent = await askLender(findStandby(workspace, state), {...asked, id: second.id, settled: []});
+		const standbySettlement = settleLoanAccount(readAccount(workspace));
+		accounts.set(workspace, standbySettlement.account);
+		const lent = await borrowFrom(findStandby(workspace, state), {...request, id: standbySettlement.id, settled: []});
 		if ((lent?.units ?? 0) > 0) {
 			return {hasAnswer: true, retryAfter: 0};
 		}
 
-		emptyUntil.set(workspace, now() + standbyRetry);
+		standbyBackoffUntil.set(workspace, now() + standbyRetryMs);
 		return answer;
 	};
 
 	const borrow = async (request: AdmittedRequest): Promise<BorrowOutcome> => {
-		const known = borrowing.get(request.workspace);
-		if (known !== undefined) {
-			return known;
+		const pending = inFlight.get(request.workspace);
+		if (pending !== undefined) {
+			return pending;
 		}
 
-		const asking = borrowNow(request);
-		borrowing.set(request.workspace, asking);
+		const outcome = borrowFromAny(request);
+		inFlight.set(request.workspace, outcome);
 		try {
-			return await asking;
+			return await outcome;
 		} finally {
-			borrowing.delete(request.workspace);
+			inFlight.delete(request.workspace);
 		}
 	};
 
 	const spend = (request: AdmittedRequest, isFirst: boolean): boolean => {
-		if (!isProven()) {
+		if (!isRosterCurrent()) {
 			return false;
 		}
 
-		const spent = spendUnits(readPurse(request.workspace), {cost: request.cost, isFirst, now: now()});
-		purses.set(request.workspace, spent.account);
+		const spent = spendUnits(readAccount(request.workspace), {cost: request.cost, isFirst, now: now()});
+		accounts.set(request.workspace, spent.account);
 		return spent.isSpent;
 	};
 
--- a/packages/proxy/create-change-backend.ts
+++ b/packages/proxy/create-change-backend.ts
@@ -23,14 +23,14 @@
 	readonly now: () => number;
 };
 
-/** Creates what commits changes of the configuration and the roster. */
+/** Creates the backend that commits changes of the configuration and the roster. */
 export function createChangeBackend(options: Options): ChangeBackend {
 	const {platform, dispatch, log, now} = options;
-	let commits = 0;
+	let pendingCommits = 0;
 
-	const countCommits = (step: number) => {
-		commits += step;
-		dispatch({kind: 'commitChanged', isCommitting: commits > 0});
+	const addPendingCommits = (step: number) => {
+		pendingCommits += step;
+		dispatch({kind: 'commitChanged', isCommitting: pendingCommits > 0});
 	};
 
 	const readVersion = async () => {
@@ -40,24 +40,28 @@
 			dispatch({kind: 'configurationRead', fleet, provenAt});
 			return true;
 		} catch {
-			log.debug('platform: The configuration could not be read.');
+			log.debug('platform: Reading the configuration failed.');
 			return false;
 		}
 	};
 
-	/** Ends a commit whose outcome is not known once the table shows what became of it. */
-	const settleLater = async () => {
+	/**
+	 * Ends a commit whose answer was lost.
+	 *
+	 * Reads the table after the time in which the write can still take effect, and repeats that until a read succeeds.
+	 */
+	const settleLostCommit = async () => {
 		do {
 			await sleep(pendingWriteTimeoutMs); // eslint-disable-line no-await-in-loop -- each read follows a pause
 		} while (!await readVersion()); // eslint-disable-line no-await-in-loop
 
-		countCommits(-1);
+		addPendingCommits(-1);
 	};
 
 	const commit = async (request: ChangeRequest, change: Change): Promise<CommitOutcome> => {
 		const {changeId, basedOn} = request;
 		const provenAt = now();
-		countCommits(1);
+		addPendingCommits(1);
 		const outcome = await commitChange(platform, {
 			change, changeId, basedOn, host: options.self,
 		});
@@ -69,18 +73,18 @@
 		}
 
 		if (outcome.kind === 'refused' && outcome.code === resultCodes.storeAnswerLost) {
-			void settleLater();
+			void settleLostCommit();
 		} else {
-			countCommits(-1);
+			addPendingCommits(-1);
 		}
 
 		return outcome;
 	};
 
-	const passOn = async (request: ChangeRequest) => {
+	const forwardChange = async (request: ChangeRequest) => {
 		for (const id of options.readState().roster.acceptors) {
 			try {
-				const answer = await options.findPeer(id)?.passChange(request); // eslint-disable-line no-await-in-loop -- one after the other
+				const answer = await options.findPeer(id)?.passChange(request); // eslint-disable-line no-await-in-loop -- one acceptor at a time
 				if (answer !== undefined) {
 					return answer;
 				}
@@ -92,13 +96,13 @@
 		return {code: resultCodes.storeUnavailable, reason: 'no host through which changes enter can be reached'};
 	};
 
-	const change = async (request: ChangeRequest, wanted: Change) => {
+	const change = async (request: ChangeRequest, requested: Change) => {
 		const {acceptors} = options.readState().roster;
 		if (acceptors.length > 0 && !acceptors.includes(options.self)) {
-			return passOn(request);
+			return forwardChange(request);
 		}
 
-		const outcome = await commit(request, wanted);
+		const outcome = await commit(request, requested);
 		return outcome.kind === 'refused'
 			? {code: outcome.code, reason: outcome.reason, version: outcome.version}
 			: {code: resultCodes.done, version: outcome.fleet.configuration.version};
@@ -116,17 +120,17 @@
 		async changeRoster(roster) {
 			const {head} = options.readState().roster;
 			const provenAt = now();
-			countCommits(1);
+			addPendingCommits(1);
 			try {
 				const fleet = await commitRoster(platform, {...roster, head});
-				countCommits(-1);
+				addPendingCommits(-1);
 				if (fleet !== undefined) {
 					dispatch({kind: 'configurationRead', fleet, provenAt});
 					log.info(`platform: The roster has ${roster.homes.length} live hosts.`);
 				}
 			} catch {
-				log.debug('platform: The roster could not be changed.');
-				void settleLater();
+				log.debug('platform: Committing the roster failed; the outcome is read from the table later.');
+				void settleLostCommit();
 			}
 		},
 	};
--- a/packages/proxy/create-control-loop.ts
+++ b/packages/proxy/create-control-loop.ts
@@ -21,13 +21,13 @@
 };
 
 /**
- * Creates the control loop of a host: one stream of events, folded into the state by the decisions.
+ * Creates the control loop of a host, which applies a stream of events to the state and carries out the effects.
  *
- * Events that come while a step is under way are taken in order after it.
+ * Events that are dispatched during a step are processed after it, in order.
  */
 export function createControlLoop(options: Options): Loop {
-	const emitter = new EventEmitter(); // eslint-disable-line unicorn/prefer-event-target -- what most listens to
-	const waiting: HostEvent[] = [];
+	const emitter = new EventEmitter(); // eslint-disable-line unicorn/prefer-event-target -- the event source that most supports
+	const queue: HostEvent[] = [];
 	let state = createHostState(options.host, options.incarnation);
 	let isStepping = false;
 
@@ -41,15 +41,15 @@
 		}
 	};
 
-	const drain = (first: HostEvent) => {
-		waiting.push(first);
+	const processEvent = (received: HostEvent) => {
+		queue.push(received);
 		if (isStepping) {
 			return;
 		}
 
 		isStepping = true;
 		try {
-			for (let event = waiting.shift(); event !== undefined; event = waiting.shift()) {
+			for (let event = queue.shift(); event !== undefined; event = queue.shift()) {
 				step(event);
 			}
 		} finally {
@@ -57,7 +57,7 @@
 		}
 	};
 
-	void fromEvent<HostEvent>('event', emitter).observe(drain);
+	void fromEvent<HostEvent>('event', emitter).observe(processEvent);
 	return {
 		state: () => state,
 		dispatch(event) {
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -12,41 +12,42 @@
 	readonly dispatch: (event: HostEvent) => void;
 	readonly findPeer: FindPeer;
 	readonly clock: HybridClock;
-	/** Milliseconds without the table after which an acceptor's word ends. */
-	readonly wordSpan: number;
+	/** Milliseconds since an acceptor last read the table, after which it no longer confirms its configuration. */
+	readonly maxTableAgeMs: number;
 	readonly now: () => number;
 };
 
-type KnownPrimaries = {
-	/** The groups from which the rest follows. */
+type PrimaryList = {
+	/** Groups of the state from which the list was computed. */
 	readonly groups: HostState['groups'];
 	readonly primaries: ReturnType<typeof listPrimaries>;
 	readonly digest: string;
 };
 
 type Exchanger = {
-	/** Exchanges with another host; sends what it lacks in a second message. */
+	/** Exchanges state with another host; when either host lacks something, a second exchange carries it. */
 	readonly exchange: (id: string) => Promise<void>;
-	/** Takes in what another host told and tells what it lacks. */
+	/** Applies the message of another host and returns what that host lacks. */
 	readonly answer: (content: ExchangeContent) => ExchangeContent;
 };
 
-/** Creates what exchanges knowledge with other hosts: configuration, roster, primaries and liveness. */
+/** Creates the exchanger, which gossips configuration, roster, primaries and liveness with other hosts. */
 export function createExchanger(options: Options): Exchanger {
 	const {readState, now, clock} = options;
 
-	let known: KnownPrimaries | undefined;
+	let cached: PrimaryList | undefined;
 
-	/** Lists the primaries with their digest, anew only when the groups have changed. */
-	const readPrimaries = (state: HostState): KnownPrimaries => {
-		if (known?.groups !== state.groups) {
+	/** Lists the primaries with their digest; computes both only when the groups have changed. */
+	const readPrimaries = (state: HostState): PrimaryList => {
+		if (cached?.groups !== state.groups) {
 			const primaries = listPrimaries(state);
-			known = {groups: state.groups, primaries, digest: hashPrimaries(primaries)};
+			cached = {groups: state.groups, primaries, digest: hashPrimaries(primaries)};
 		}
 
-		return known;
+		return cached;
 	};
 
+	/** Creates a message; with the other host's message, it holds the configuration and primaries that the other lacks. */
 	const createContent = (other: ExchangeContent | undefined): ExchangeContent => {
 		const state = readState();
 		const {primaries, digest} = readPrimaries(state);
@@ -58,7 +59,7 @@
 			head: state.roster.head,
 			age: at - state.provenAt,
 			fleet: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
-			statements: listStatements(state, {span: options.wordSpan, now: at}).map(({id, at: given}) => ({id, age: at - given})),
+			statements: listStatements(state, {span: options.maxTableAgeMs, now: at}).map(({id, at: given}) => ({id, age: at - given})),
 			digest,
 			primaries: other !== undefined && other.digest !== digest ? primaries : [],
 			news: listNews(state, at),
@@ -66,8 +67,12 @@
 		};
 	};
 
-	/** Takes in a content; ages count from `base`, the earliest time at which it can have been written. */
-	const takeContent = (content: ExchangeContent, base: number) => {
+	/**
+	 * Applies a message.
+	 *
+	 * @param base Earliest monotonic time at which the message can have been written; its ages are subtracted from it.
+	 */
+	const applyContent = (content: ExchangeContent, base: number) => {
 		clock.observe(content.time);
 		options.dispatch({
 			kind: 'exchanged',
@@ -83,7 +88,8 @@
 		});
 	};
 
-	const isLacking = (content: ExchangeContent) => {
+	/** Whether the other host lacks the newest configuration or knows other primaries. */
+	const isBehind = (content: ExchangeContent) => {
 		const state = readState();
 		return content.head < state.roster.head || content.digest !== readPrimaries(state).digest;
 	};
@@ -96,19 +102,19 @@
 			}
 
 			try {
-				const firstAt = now();
+				const firstSentAt = now();
 				const content = await peer.exchange(createContent(undefined));
-				takeContent(content, firstAt);
-				if (isLacking(content) || content.head > readState().roster.head) {
-					const secondAt = now();
-					takeContent(await peer.exchange(createContent(content)), secondAt);
+				applyContent(content, firstSentAt);
+				if (isBehind(content) || content.head > readState().roster.head) {
+					const secondSentAt = now();
+					applyContent(await peer.exchange(createContent(content)), secondSentAt);
 				}
 			} catch {
 				options.dispatch({kind: 'exchangeFailed', id});
 			}
 		},
 		answer(content) {
-			takeContent(content, -Infinity);
+			applyContent(content, -Infinity);
 			return createContent(content);
 		},
 	};
--- a/packages/proxy/create-failover-runner.ts
+++ b/packages/proxy/create-failover-runner.ts
@@ -6,7 +6,7 @@
 import type {HostLog} from './host-log.ts';
 
 type Options = {
-	/** Names this process; an instance grants a term to one owner only. */
+	/** Identifies this process; an instance grants a term to one owner only. */
 	readonly owner: string;
 	readonly readState: () => HostState;
 	readonly dispatch: (event: HostEvent) => void;
@@ -18,17 +18,17 @@
 	readonly now: () => number;
 };
 
-/** Creates what carries out the steps of failover that the decisions order. */
+/** Creates a function that carries out the failover effects that the control loop decides on. */
 export function createFailoverRunner(options: Options): (database: string, effect: FailoverEffect) => void {
 	const {dispatch, findGroup, log, now} = options;
 
-	const tell = (database: string, step: string) => {
+	const publishStep = (database: string, step: string) => {
 		options.metrics.failovers.inc({step});
 		options.events.emit({kind: 'failover-step', database, detail: step});
 		log.info(`failover: Database ${database}: ${step}.`);
 	};
 
-	const askConfirmation = (database: string, term: number) => {
+	const requestConfirmations = (database: string, term: number) => {
 		const {groups, membership} = options.readState();
 		for (const id of groups.get(database)?.watch?.others ?? []) {
 			const zone = membership.hosts.get(id)?.zone ?? '';
@@ -38,13 +38,13 @@
 		}
 	};
 
-	const confirm = async (asked: {readonly id: string; readonly zone: string; readonly database: string; readonly term: number}) => {
+	const confirm = async (request: {readonly id: string; readonly zone: string; readonly database: string; readonly term: number}) => {
 		try {
-			if (await options.findPeer(asked.id)?.confirm(asked.database, asked.term)) {
-				dispatch({kind: 'failover', database: asked.database, event: {kind: 'confirmed', zone: asked.zone}});
+			if (await options.findPeer(request.id)?.confirm(request.database, request.term)) {
+				dispatch({kind: 'failover', database: request.database, event: {kind: 'confirmed', zone: request.zone}});
 			}
 		} catch {
-			log.debug(`hosts: Host ${asked.id} did not confirm.`);
+			log.debug(`hosts: Host ${request.id} did not answer whether it suspects the primary of database ${request.database}.`);
 		}
 	};
 
@@ -77,12 +77,12 @@
 	const run = async (database: string, effect: FailoverEffect) => {
 		switch (effect.kind) {
 			case 'tell': {
-				tell(database, effect.step);
+				publishStep(database, effect.step);
 				break;
 			}
 
 			case 'askConfirmation': {
-				askConfirmation(database, effect.term);
+				requestConfirmations(database, effect.term);
 				break;
 			}
 
@@ -104,8 +104,8 @@
 	};
 
 	return (database, effect) => {
-		run(database, effect).catch(() => { // eslint-disable-line promise/prefer-await-to-then -- the loop does not wait
-			log.debug(`failover: Database ${database}: the command to ${effect.kind} got no answer.`);
+		run(database, effect).catch(() => { // eslint-disable-line promise/prefer-await-to-then -- the control loop does not wait
+			log.debug(`failover: Database ${database}: the ${effect.kind} command got no answer.`);
 		});
 	};
 }
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -18,47 +18,47 @@
 	readonly onReport: (report: InstanceReport, sentAt: number) => void;
 };
 
-/** A pool and the monotonic milliseconds of its last use. */
-type UsedPool = {readonly pool: Pool; usedAt: number};
+/** A pool and the monotonic time of its last use in milliseconds. */
+type PoolEntry = {readonly pool: Pool; usedAt: number};
 
-type InstanceLinks = {
+type InstanceClients = {
 	readonly address: string;
 	readonly prober: Prober;
 	readonly commander: Commander;
-	/** Pools by use; absent while they are not used. */
-	readonly pools: Map<'gateway' | 'direct', UsedPool>;
+	/** Pools by purpose; a pool is created on its first use and closed when idle. */
+	readonly pools: Map<'gateway' | 'direct', PoolEntry>;
 };
 
 type Waiter = {
 	readonly isUrgent: boolean;
-	/** Ends the wait if the view holds what is looked for. */
+	/** Ends the wait if the view satisfies it. */
 	readonly check: (view: GroupView) => void;
 };
 
 /** Least milliseconds between two probes while an urgent wait is open. */
-const urgentInterval = 2;
+const urgentProbeIntervalMs = 2;
 
-/** Milliseconds after which an urgent probe without answer is repeated. */
-const urgentRepeat = 25;
+/** Milliseconds after which a probe is repeated while an urgent wait is open. */
+const urgentProbeRepeatMs = 25;
 
 /**
  * Creates the runtime of one database group.
  *
- * @param first The view at the start.
- * @param options Settings of connections, the clock, and what to do with reports of instances.
+ * @param initialView The group's view at the start.
+ * @param options Settings of connections, the clock, and the callback for reports of instances.
  */
-export function createGroupRuntime(first: GroupView, options: Options): GroupRuntime {
-	const links = new Map<string, InstanceLinks>();
-	const owners = new WeakMap<Connection, Pool>();
+export function createGroupRuntime(initialView: GroupView, options: Options): GroupRuntime {
+	const clients = new Map<string, InstanceClients>();
+	const poolByConnection = new WeakMap<Connection, Pool>();
 	const waiters = new Set<Waiter>();
-	const scopes = new Map<AbortController, number>();
-	let view = first;
+	const attempts = new Map<AbortController, number>();
+	let view = initialView;
 	let probedAt = -Infinity;
 	let urgentTimer: NodeJS.Timeout | undefined;
 
 	const probe = () => {
 		probedAt = options.now();
-		for (const {prober} of links.values()) {
+		for (const {prober} of clients.values()) {
 			prober.probe();
 		}
 	};
@@ -72,21 +72,21 @@
 		}
 
 		const elapsed = options.now() - probedAt;
-		if (elapsed >= urgentInterval) {
+		if (elapsed >= urgentProbeIntervalMs) {
 			probe();
 		}
 
 		clearTimeout(urgentTimer);
-		urgentTimer = setTimeout(probeUrgently, elapsed >= urgentInterval ? urgentRepeat : urgentInterval);
+		urgentTimer = setTimeout(probeUrgently, elapsed >= urgentProbeIntervalMs ? urgentProbeRepeatMs : urgentProbeIntervalMs);
 	};
 
 	const connectInstances = () => {
 		for (const {id, address} of view.group.instances) {
-			const known = links.get(id);
+			const known = clients.get(id);
 			if (known?.address !== address) {
 				known?.prober.close();
 				closePools(known);
-				links.set(id, {
+				clients.set(id, {
 					address,
 					prober: openProber(address, {...options, silenceLimit: options.settings.silenceLimit}),
 					commander: createCommander(address, options.settings.commandTimeout),
@@ -97,30 +97,30 @@
 	};
 
 	const findPool = (instance: string, use: 'gateway' | 'direct'): Pool | undefined => {
-		const link = links.get(instance);
-		if (link === undefined) {
+		const client = clients.get(instance);
+		if (client === undefined) {
 			return undefined;
 		}
 
-		const known = link.pools.get(use);
+		const known = client.pools.get(use);
 		if (known !== undefined) {
 			known.usedAt = options.now();
 			return known.pool;
 		}
 
 		const pool = createPool({
-			open: async onClosed => openConnection(link.address, {...options.settings, now: options.now, onClosed}),
+			open: async onClosed => openConnection(client.address, {...options.settings, now: options.now, onClosed}),
 			size: use === 'gateway' ? options.settings.connections : options.settings.directConnections,
 			retryDelay: options.settings.reconnectDelay,
 			now: options.now,
 		});
-		link.pools.set(use, {pool, usedAt: options.now()});
+		client.pools.set(use, {pool, usedAt: options.now()});
 		return pool;
 	};
 
-	/** Closes the pools that have not been used for a while, so that scarce connections go to those who need them. */
+	/** Closes the pools that were idle for longer than `idleSpan`, as instances accept few connections. */
 	const closeIdlePools = () => {
-		for (const {pools} of links.values()) {
+		for (const {pools} of clients.values()) {
 			for (const [use, {pool, usedAt}] of pools) {
 				if (options.now() - usedAt > options.settings.idleSpan) {
 					pool.close();
@@ -145,7 +145,7 @@
 			}
 
 			if (isTermNew) {
-				abortOlder(scopes, next.term);
+				abortOlderAttempts(attempts, next.term);
 			}
 
 			for (const waiter of waiters) {
@@ -161,13 +161,13 @@
 			const pool = findPool(instance, demand.isGateway ? 'gateway' : 'direct');
 			const connection = await pool?.take(demand);
 			if (connection !== undefined && pool !== undefined) {
-				owners.set(connection, pool);
+				poolByConnection.set(connection, pool);
 			}
 
 			return connection;
 		},
 		release(connection) {
-			owners.get(connection)?.give(connection);
+			poolByConnection.get(connection)?.give(connection);
 		},
 		async waitFor(find, {deadline, isUrgent}) {
 			const found = find(view);
@@ -200,37 +200,37 @@
 			const timer = setTimeout(() => {
 				controller.abort();
 			}, Math.max(0, deadline - options.now()));
-			scopes.set(controller, term);
+			attempts.set(controller, term);
 			return {
 				signal: controller.signal,
 				close() {
 					clearTimeout(timer);
-					scopes.delete(controller);
+					attempts.delete(controller);
 				},
 			};
 		},
-		findCommander: instance => links.get(instance)?.commander,
+		findCommander: instance => clients.get(instance)?.commander,
 		close() {
 			clearTimeout(urgentTimer);
 			clearInterval(idleTimer);
-			for (const link of links.values()) {
-				link.prober.close();
-				closePools(link);
+			for (const client of clients.values()) {
+				client.prober.close();
+				closePools(client);
 			}
 		},
 	};
 }
 
-function closePools(link: InstanceLinks | undefined): void {
-	for (const {pool} of link?.pools.values() ?? []) {
+function closePools(client: InstanceClients | undefined): void {
+	for (const {pool} of client?.pools.values() ?? []) {
 		pool.close();
 	}
 }
 
-/** Aborts the attempts of terms that have ended. */
-function abortOlder(scopes: ReadonlyMap<AbortController, number>, term: number): void {
-	for (const [controller, scopeTerm] of scopes) {
-		if (scopeTerm < term) {
+/** Aborts the attempts of terms before the given one. */
+function abortOlderAttempts(attempts: ReadonlyMap<AbortController, number>, term: number): void {
+	for (const [controller, attemptTerm] of attempts) {
+		if (attemptTerm < term) {
 			controller.abort();
 		}
 	}
--- a/packages/proxy/create-home-buckets.test.ts
+++ b/packages/proxy/create-home-buckets.test.ts
@@ -5,13 +5,13 @@
 const settings = {
 	reserve: 0, reserveSpan: 600_000, loanSpan: 400, prefetch: 250, proofLimit: 1200, longestWait: 500, standby: 0.25, standbySpan: 4000,
 };
-const usualLimit = {rate: 10, burst: 100};
-const only: Roster = {
+const defaultLimit = {rate: 10, burst: 100};
+const soleRoster: Roster = {
 	head: 3, epoch: 1, hosts: ['a'], homes: ['a'], acceptors: ['a'],
 };
 
-/** Creates the homes of host a, which alone is in the roster, at a time that the test moves. */
-function createHomes(limit: {readonly rate: number; readonly burst: number} = usualLimit) {
+/** Creates the home buckets of host a, the only host of the roster, with a clock that the test sets. */
+function createBuckets(limit: {readonly rate: number; readonly burst: number} = defaultLimit) {
 	const clock = {now: 10_000};
 	const base = createHostState({
 		id: 'a', zone: 'a', address: '', isDeparting: false,
@@ -19,26 +19,26 @@
 	const readState = (): HostState => ({
 		...base,
 		configuration: {...base.configuration, workspaces: {upper: {...limit, databases: []}}},
-		roster: only,
+		roster: soleRoster,
 		homesKnownAt: 9900,
 		provenAt: clock.now,
 	});
-	const homes = createHomeBuckets({
+	const buckets = createHomeBuckets({
 		self: 'a', settings, readState, findPeer: () => undefined, now: () => clock.now,
 	});
-	const borrow = (id: number, needed: number) => homes.lend({
+	const borrow = (id: number, needed: number) => buckets.lend({
 		host: 'b', id, workspace: 'upper', needed, wanted: needed, settled: [], isStandby: false,
 	})?.units;
-	return {clock, homes, borrow};
+	return {clock, buckets, borrow};
 }
 
-const handed = {
+const handedBucket = {
 	workspace: 'upper', head: 3, level: 50, loans: [],
 };
 
 describe('createBucketHomes', () => {
-	it('lends nothing before the home of an older roster has stopped', () => {
-		const {clock, borrow} = createHomes();
+	it('lends nothing until the previous home host must have stopped and its loans have expired', () => {
+		const {clock, borrow} = createBuckets();
 		expect(borrow(1, 1)).to.equal(undefined);
 		clock.now = 9900 + 1200 + 440;
 		expect(borrow(2, 1)).to.equal(0);
@@ -46,17 +46,17 @@
 		expect(borrow(3, 10)).to.equal(10);
 	});
 
-	it('holds back what the standby of the home before may still lend', () => {
-		for (const [elapsed, most] of [[100_000, 100], [4300, 43]] as const) {
-			const {clock, borrow} = createHomes();
-			const since = 9900 + 1200 + 440;
-			clock.now = since;
+	it('holds back the units that the previous standby host may still lend', () => {
+		for (const [elapsed, available] of [[100_000, 100], [4300, 43]] as const) {
+			const {clock, borrow} = createBuckets();
+			const lendsFrom = 9900 + 1200 + 440;
+			clock.now = lendsFrom;
 			borrow(1, 1);
-			clock.now = since + elapsed;
-			expect(borrow(2, most), `after ${elapsed} ms`).to.equal(most);
+			clock.now = lendsFrom + elapsed;
+			expect(borrow(2, available), `after ${elapsed} ms`).to.equal(available);
 		}
 
-		const {clock, borrow} = createHomes({rate: 1000, burst: 100});
+		const {clock, borrow} = createBuckets({rate: 1000, burst: 100});
 		clock.now = 9900 + 1200 + 440;
 		borrow(1, 1);
 		clock.now += 4300;
@@ -64,10 +64,10 @@
 		expect(borrow(3, 75)).to.equal(75);
 	});
 
-	it('lends a standby a part of the burst, for longer', () => {
-		const {homes} = createHomes();
-		homes.takeOver({...handed, level: 100});
-		const ask = (id: number, settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>) => homes.lend({
+	it('lends the standby host its share of the burst, for the longer standby span', () => {
+		const {buckets} = createBuckets();
+		buckets.takeOver({...handedBucket, level: 100});
+		const ask = (id: number, settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>) => buckets.lend({
 			host: 'b/standby', id, workspace: 'upper', needed: 0, wanted: 0, settled, isStandby: true,
 		});
 		expect(ask(1, [])).to.deep.equal({units: 25, span: 4000, retryAfter: 0});
@@ -75,29 +75,29 @@
 	});
 
 	it('lends at once from a bucket that was handed over', () => {
-		const {homes, borrow} = createHomes();
-		expect(homes.takeOver(handed)).to.equal(true);
+		const {buckets, borrow} = createBuckets();
+		expect(buckets.takeOver(handedBucket)).to.equal(true);
 		expect(borrow(1, 50)).to.equal(50);
 	});
 
-	it('takes a bucket over once, also when it is handed over again', () => {
-		const {homes, borrow} = createHomes();
-		homes.takeOver(handed);
+	it('keeps its bucket when the same bucket is handed over again', () => {
+		const {buckets, borrow} = createBuckets();
+		buckets.takeOver(handedBucket);
 		borrow(1, 50);
-		expect(homes.takeOver(handed)).to.equal(true);
+		expect(buckets.takeOver(handedBucket)).to.equal(true);
 		expect(borrow(2, 50)).to.equal(0);
 	});
 
-	it('takes no bucket of another roster', () => {
-		const {homes} = createHomes();
-		expect(homes.takeOver({...handed, head: 2})).to.equal(false);
+	it('refuses a bucket that was handed over for another roster', () => {
+		const {buckets} = createBuckets();
+		expect(buckets.takeOver({...handedBucket, head: 2})).to.equal(false);
 	});
 
-	it('forgets its buckets when a roster was missed, and keeps them else', () => {
+	it('drops its buckets only when it missed a roster', () => {
 		for (const [epoch, units] of [[2, 50], [3, undefined]] as const) {
-			const {homes, borrow} = createHomes();
-			homes.takeOver(handed);
-			homes.followRoster(only, {...only, epoch});
+			const {buckets, borrow} = createBuckets();
+			buckets.takeOver(handedBucket);
+			buckets.followRoster(soleRoster, {...soleRoster, epoch});
 			expect(borrow(1, 50), `epoch ${epoch}`).to.equal(units);
 		}
 	});
--- a/packages/proxy/create-home-buckets.ts
+++ b/packages/proxy/create-home-buckets.ts
@@ -16,81 +16,92 @@
 	readonly now: () => number;
 };
 
-type Home = {
-	/** When the standby was last asked to keep a part, in monotonic milliseconds. */
-	stoodAt: number;
-	/** Since when this host has been the home without a break, in monotonic milliseconds. */
-	readonly since: number;
+/** A bucket with monotonic times in milliseconds. */
+type OwnBucket = {
+	/** When the standby host was last asked to renew its loan. */
+	standbyAskedAt: number;
+	/** From when this host may lend from the bucket. */
+	readonly lendsFrom: number;
 	bucket: HomeBucket;
 };
 
-/** Times within its span that a standby is asked to renew its part, while the workspace is in use. */
-const renewalsPerSpan = 4;
+/** Renewals per span of a standby loan that are requested while the workspace is in use. */
+const renewalsPerStandbySpan = 4;
 
-/** Milliseconds between two attempts to hand a bucket over. */
-const handOverDelay = 100;
+/** Milliseconds between two attempts to hand over a bucket. */
+const handOverRetryMs = 100;
 
 /**
- * Creates the keeper of the buckets whose home this host is.
+ * Creates the token buckets of the workspaces whose home host this host is.
  *
- * A host that becomes a home waits until the one before it has stopped, unless that one hands its bucket over.
+ * A new home host lends only after the previous one must have stopped and its loans have expired, or at once when the
+ * previous home host hands over the bucket.
  */
 export function createHomeBuckets(options: Options): HomeBuckets {
 	const {self, settings, now} = options;
-	const homes = new Map<string, Home>();
+	const buckets = new Map<string, OwnBucket>();
 
-	const isProven = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
+	const isRosterCurrent = () => isRosterProven(options.readState(), {proofLimit: settings.proofLimit, now: now()});
 
-	/** Finds when a host that the newest roster made a home may begin to lend. */
-	const findStart = () => options.readState().homesKnownAt + settings.proofLimit + (settings.loanSpan * driftMargin);
+	/**
+	 * Finds the monotonic time from which a host that the newest roster made a home host may lend.
+	 *
+	 * By then the previous home host's confirmation of its roster is older than `proofLimit`, and its loans have expired.
+	 */
+	const findLendsFrom = () => options.readState().homesKnownAt + settings.proofLimit + (settings.loanSpan * driftMargin);
 
-	/** Finds the part of a workspace's rate and burst that its home lends. */
+	/** Finds the part of a workspace's rate and burst that its home host lends, and the units that its standby host may borrow. */
 	const findLimit = (workspace: string) => {
 		const {rate, burst} = options.readState().configuration.workspaces[workspace] ?? {rate: 0, burst: 0};
 		const share = 1 - settings.reserve;
 		return {rate: rate * share, burst: burst * share, standby: burst * share * settings.standby};
 	};
 
-	/** Creates the bucket of a home that cannot know what the one before it left with its standby. */
-	const createBucket = (workspace: string, startsAt: number): HomeBucket => ({
+	/**
+	 * Creates the bucket of a new home host.
+	 *
+	 * The previous home host may have left a loan with its standby host, so the bucket counts a full standby loan as open
+	 * until that loan must have expired.
+	 */
+	const createBucket = (workspace: string, lendsFrom: number): HomeBucket => ({
 		level: 0,
-		refilledAt: startsAt,
+		refilledAt: lendsFrom,
 		loans: [{
-			host: '', id: 0, units: findLimit(workspace).standby, expiresAt: startsAt + (settings.standbySpan * driftMargin),
+			host: '', id: 0, units: findLimit(workspace).standby, expiresAt: lendsFrom + (settings.standbySpan * driftMargin),
 		}],
 	});
 
-	/** Finds the bucket of a workspace that this host may lend from now. */
-	const findOwnHome = (workspace: string): Home | undefined => {
+	/** Finds the bucket of a workspace, if this host may lend from it now. */
+	const findLendableBucket = (workspace: string): OwnBucket | undefined => {
 		const {roster} = options.readState();
 		if (findHome(workspace, roster.homes) !== self) {
 			return undefined;
 		}
 
-		const startsAt = findStart();
-		const home = homes.get(workspace) ?? {since: startsAt, stoodAt: -Infinity, bucket: createBucket(workspace, startsAt)};
-		homes.set(workspace, home);
-		return isProven() && now() >= home.since ? home : undefined;
+		const lendsFrom = findLendsFrom();
+		const own = buckets.get(workspace) ?? {lendsFrom, standbyAskedAt: -Infinity, bucket: createBucket(workspace, lendsFrom)};
+		buckets.set(workspace, own);
+		return isRosterCurrent() && now() >= own.lendsFrom ? own : undefined;
 	};
 
-	/** Asks the standby now and then to keep a part of a bucket that is in use. */
-	const askStandby = async (workspace: string, home: Home) => {
-		if (settings.standby === 0 || now() - home.stoodAt < settings.standbySpan / renewalsPerSpan) {
+	/** Asks the standby host to renew its loan, at most `renewalsPerStandbySpan` times per span. */
+	const requestRenewal = async (workspace: string, own: OwnBucket) => {
+		if (settings.standby === 0 || now() - own.standbyAskedAt < settings.standbySpan / renewalsPerStandbySpan) {
 			return;
 		}
 
-		home.stoodAt = now();
+		own.standbyAskedAt = now();
 		const standby = findStandby(workspace, options.readState());
 		try {
 			await options.findPeer(standby ?? '')?.stand(workspace);
 		} catch {
-			// The next loan asks again.
+			// A later loan from this bucket requests the renewal again.
 		}
 	};
 
 	const lend = (asked: BorrowAsked): BorrowGranted | undefined => {
-		const home = findOwnHome(asked.workspace);
-		if (home === undefined) {
+		const own = findLendableBucket(asked.workspace);
+		if (own === undefined) {
 			return undefined;
 		}
 
@@ -100,7 +111,7 @@
 		}
 
 		const span = asked.isStandby ? settings.standbySpan : settings.loanSpan;
-		const lent = lendUnits(home.bucket, {
+		const lent = lendUnits(own.bucket, {
 			...asked,
 			wanted: asked.isStandby ? standby : asked.wanted,
 			rate,
@@ -108,49 +119,53 @@
 			span: span * driftMargin,
 			now: now(),
 		});
-		home.bucket = lent.bucket;
+		own.bucket = lent.bucket;
 		if (!asked.isStandby) {
-			void askStandby(asked.workspace, home);
+			void requestRenewal(asked.workspace, own);
 		}
 
 		return {units: lent.units, span, retryAfter: lent.retryAfter};
 	};
 
-	/** Hands a bucket over to its new home; gives up after a while, and the new home waits the loans out. */
+	/**
+	 * Hands over a bucket to its new home host.
+	 *
+	 * Gives up after `proofLimit`; the new home host then waits until the loans have expired.
+	 */
 	const handOver = async (workspace: string, bucket: HomeBucket) => {
-		const givenUpAt = now() + settings.proofLimit;
-		while (now() < givenUpAt) {
+		const giveUpAt = now() + settings.proofLimit;
+		while (now() < giveUpAt) {
 			const {roster} = options.readState();
 			const loans = bucket.loans.map(({expiresAt, ...loan}) => ({...loan, left: Math.max(0, expiresAt - now())}));
 			try {
 				const peer = options.findPeer(findHome(workspace, roster.homes) ?? '');
-				// eslint-disable-next-line no-await-in-loop -- attempts follow each other
+				// eslint-disable-next-line no-await-in-loop -- attempts run one after the other
 				if (await peer?.handOver({
 					workspace, head: roster.head, level: bucket.level, loans,
 				})) {
 					return;
 				}
 			} catch {
-				// The new home may answer later.
+				// The new home host may answer a later attempt.
 			}
 
-			await sleep(handOverDelay); // eslint-disable-line no-await-in-loop -- attempts follow each other
+			await sleep(handOverRetryMs); // eslint-disable-line no-await-in-loop -- attempts run one after the other
 		}
 	};
 
 	return {
 		lend,
-		isReady: () => isProven() && now() >= findStart(),
+		isReady: () => isRosterCurrent() && now() >= findLendsFrom(),
 		followRoster(before, after) {
 			if (after.epoch > before.epoch + 1) {
-				homes.clear();
+				buckets.clear();
 			}
 
-			for (const [workspace, home] of homes) {
+			for (const [workspace, own] of buckets) {
 				if (findHome(workspace, after.homes) !== self) {
-					homes.delete(workspace);
-					if (now() >= home.since) {
-						void handOver(workspace, home.bucket);
+					buckets.delete(workspace);
+					if (now() >= own.lendsFrom) {
+						void handOver(workspace, own.bucket);
 					}
 				}
 			}
@@ -162,14 +177,15 @@
 				return false;
 			}
 
-			const known = homes.get(workspace);
-			if (known !== undefined && at >= known.since) {
-				// The answer to the first hand-over was lost, or came after the wait: what was lent since counts.
+			const known = buckets.get(workspace);
+			if (known !== undefined && at >= known.lendsFrom) {
+				// This host lends already, after an earlier hand-over whose answer was lost or after the wait. Its own bucket
+				// stays, as it counts the loans since.
 				return true;
 			}
 
-			const taken = loans.map(({left, ...loan}) => ({...loan, expiresAt: at + left}));
-			homes.set(workspace, {since: at, stoodAt: -Infinity, bucket: {level, refilledAt: at, loans: taken}});
+			const openLoans = loans.map(({left, ...loan}) => ({...loan, expiresAt: at + left}));
+			buckets.set(workspace, {lendsFrom: at, standbyAskedAt: -Infinity, bucket: {level, refilledAt: at, loans: openLoans}});
 			return true;
 		},
 	};
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -12,17 +12,18 @@
 	readonly events: EventLog;
 	readonly metrics: Metrics;
 	readonly countRunning: () => number;
-	/** Whether homes that changed have outwaited those before them. */
+	/** Whether this host may lend units of the workspaces whose home host it is. */
 	readonly areRatesReady: () => boolean;
-	/** Milliseconds for which a proof of the configuration allows keyed requests. */
+	/** Greatest age in milliseconds of the configuration's last confirmation at which requests are admitted. */
 	readonly staleAfter: number;
 	readonly drain: () => void;
 	readonly now: () => number;
 };
 
-const longestAge = 0xFF_FF_FF_FF;
+/** Greatest value of the status field, a 32-bit unsigned integer. */
+const maxAgeMs = 0xFF_FF_FF_FF;
 
-/** Creates what carries out operators' requests on this host. */
+/** Creates the backend that carries out operators' requests on this host. */
 export function createOperatorBackend(options: Options): OperatorBackend {
 	const findAge = () => options.now() - findProvenAt(options.readState());
 	return {
@@ -34,7 +35,7 @@
 				host: options.self,
 				zone: options.zone,
 				configVersion: state.configuration.version,
-				configAgeMs: Math.min(Math.ceil(findAge()), longestAge),
+				configAgeMs: Math.min(Math.ceil(findAge()), maxAgeMs),
 				groups: [...state.groups.values()].map(({view}) => ({
 					database: view.group.database,
 					term: view.term,
--- a/packages/proxy/create-peers.ts
+++ b/packages/proxy/create-peers.ts
@@ -3,10 +3,11 @@
 import type {FindPeer} from './find-peer.ts';
 
 /**
- * Creates a directory of the other hosts' clients, which follows the platform's list.
+ * Creates a function that finds the clients of other hosts, which creates and replaces clients as the platform's list of
+ * hosts changes.
  *
- * @param readState The state of the control loop.
- * @param options How long to wait for answers, heartbeat times, and the clock.
+ * @param readState Reads the state of the control loop.
+ * @param options Timeout of calls, heartbeat times, and the clock.
  */
 export function createPeers(readState: () => HostState, options: Parameters<typeof createPeer>[1]): FindPeer {
 	const peers = new Map<string, {readonly address: string; readonly peer: Peer}>();
--- a/packages/proxy/create-rate-limiter.ts
+++ b/packages/proxy/create-rate-limiter.ts
@@ -15,26 +15,26 @@
 	readonly now: () => number;
 };
 
-/** Milliseconds after the loss of a home within which the next one makes up for what was not served. */
-const recoverySpan = 8000;
+/** Milliseconds after the loss of a home host within which the next one lends enough for the requests that wait. */
+const homeRecoveryMs = 8000;
 
 /**
- * Creates the gate that holds workspaces to their rates.
+ * Creates the rate limiter of this host.
  *
- * A part of each rate lies with the workspace's home, which lends units for a short span. The rest is split
- * evenly over the roster, for when the home cannot be reached. Both parts hold only while this host can prove
- * that its roster is the newest, and a host that becomes a home waits until the one before it has stopped.
+ * The workspace's home host lends units of one part of the rate for a short span. The rest, the reserve, is split evenly
+ * over the hosts of the roster, for the time when the home host cannot be reached. A host uses either part only while
+ * its roster was recently confirmed to be the newest, and a new home host waits until the previous one has stopped.
  */
 export function createRateLimiter(options: Options): RateLimiter {
 	const {self, settings, borrower, now} = options;
 	const reserves = new Map<string, TokenBucket>();
-	/** Until when requests of a workspace wait to their deadlines, since its home was lost. */
-	const patientUntil = new Map<string, number>();
+	/** Monotonic milliseconds until which requests of a workspace wait to their deadlines, as its home host was lost. */
+	const recoveringUntil = new Map<string, number>();
 
 	const findLimit = (workspace: string) =>
 		options.readState().configuration.workspaces[workspace] ?? {rate: 0, burst: 0};
 
-	/** Spends from this host's even share, which a host that is cut off keeps for a while. */
+	/** Spends from this host's even share of the reserve, which a partitioned host keeps using for `reserveSpan`. */
 	const spendReserve = (request: AdmittedRequest): boolean => {
 		const state = options.readState();
 		const at = now();
@@ -53,7 +53,7 @@
 
 	return {
 		async take(request) {
-			const usual = Math.min(request.deadline, now() + settings.longestWait);
+			const defaultLatest = Math.min(request.deadline, now() + settings.longestWait);
 			let isFirst = true;
 			for (;;) {
 				if (borrower.spend(request, isFirst)) {
@@ -61,26 +61,27 @@
 				}
 
 				isFirst = false;
-				const {hasAnswer: isReached, retryAfter} = await borrower.borrow(request); // eslint-disable-line no-await-in-loop -- the answer decides
+				const {hasAnswer, retryAfter} = await borrower.borrow(request); // eslint-disable-line no-await-in-loop -- each attempt depends on the one before
 				if (borrower.spend(request, isFirst) || (retryAfter > 0 && spendReserve(request))) {
 					return undefined;
 				}
 
-				if (!isReached) {
-					patientUntil.set(request.workspace, now() + recoverySpan);
+				if (!hasAnswer) {
+					recoveringUntil.set(request.workspace, now() + homeRecoveryMs);
 				}
 
-				// A home that is not reached says nothing about the rate, and the bucket of the next one starts empty.
-				const latest = now() < (patientUntil.get(request.workspace) ?? 0) ? request.deadline : usual;
-				const pause = Math.max(1, retryAfter);
-				if (now() + pause > latest) {
+				// A lost home host tells nothing about the rate, and the bucket of the next home host starts empty: requests wait
+				// to their deadlines instead of being refused.
+				const latest = now() < (recoveringUntil.get(request.workspace) ?? 0) ? request.deadline : defaultLatest;
+				const delayMs = Math.max(1, retryAfter);
+				if (now() + delayMs > latest) {
 					return createRefusal(resultCodes.rateExceeded, {
-						reason: isReached ? 'the workspace is above its rate' : 'the home of the workspace cannot be reached',
-						retryAfter: pause,
+						reason: hasAnswer ? 'the workspace is above its rate' : 'the home of the workspace cannot be reached',
+						retryAfter: delayMs,
 					});
 				}
 
-				await sleep(pause); // eslint-disable-line no-await-in-loop -- the units are not there before
+				await sleep(delayMs); // eslint-disable-line no-await-in-loop -- the units are not available before
 			}
 		},
 	};
--- a/packages/proxy/create-standby-loans.ts
+++ b/packages/proxy/create-standby-loans.ts
@@ -7,7 +7,7 @@
 import type {StandbyLoans} from './standby-loans.ts';
 
 type Options = {
-	/** Names this process; another one after a restart. */
+	/** Identifies this process; a restarted host is another one. */
 	readonly owner: string;
 	readonly settings: HostFile['rate'];
 	readonly readState: () => HostState;
@@ -15,37 +15,37 @@
 	readonly now: () => number;
 };
 
-/** Milliseconds after which a borrower may ask again when the stock does not cover its need. */
-const emptyRetry = 100;
+/** Milliseconds after which a borrower may retry when the standby loan has too few units. */
+const emptyRetryMs = 100;
 
 /**
- * Creates the keeper of the stocks that this host holds as a standby.
+ * Creates the standby loans of this host.
  *
- * A stock is a loan from the home, which has taken it off the bucket; lending it on needs no proof of the roster.
- * Each renewal gives back what is left of the stock before.
+ * The home host has taken the units of a standby loan off its bucket, so they may be lent without a recent confirmation
+ * of the roster. Each renewal returns the rest of the previous loan.
  */
 export function createStandbyLoans(options: Options): StandbyLoans {
 	const {now, settings} = options;
-	const stocks = new Map<string, StandbyLoan>();
+	const loans = new Map<string, StandbyLoan>();
 	let lastId = 0;
 
 	const renew = async (workspace: string) => {
 		const home = options.findPeer(findHome(workspace, options.readState().roster.homes) ?? '');
-		const known = stocks.get(workspace);
+		const known = loans.get(workspace);
 		const settled = known === undefined ? [] : [{id: known.id, used: 0, returned: known.units}];
-		stocks.delete(workspace);
+		loans.delete(workspace);
 		lastId++;
 		const id = lastId;
-		const askedAt = now();
+		const requestedAt = now();
 		try {
 			const granted = await home?.borrow({
 				host: `${options.owner}/standby`, id, workspace, needed: 0, wanted: 0, isStandby: true, settled,
 			});
 			if (granted !== undefined) {
-				stocks.set(workspace, {id, units: granted.units, expiresAt: askedAt + granted.span});
+				loans.set(workspace, {id, units: granted.units, expiresAt: requestedAt + granted.span});
 			}
 		} catch {
-			// What was given back is lost, and the home asks again if it lives.
+			// The home host may count the returned units as used; it requests the next renewal if it is alive.
 		}
 	};
 
@@ -54,16 +54,16 @@
 			void renew(workspace);
 		},
 		lend(asked) {
-			const stock = stocks.get(asked.workspace);
-			if (stock === undefined || asked.isStandby) {
+			const loan = loans.get(asked.workspace);
+			if (loan === undefined || asked.isStandby) {
 				return undefined;
 			}
 
-			const lent = lendStandbyUnits(stock, {
+			const lent = lendStandbyUnits(loan, {
 				...asked, longestSpan: settings.loanSpan, driftMargin, now: now(),
 			});
-			stocks.set(asked.workspace, lent.loan);
-			return {units: lent.units, span: lent.span, retryAfter: lent.units > 0 ? 0 : emptyRetry};
+			loans.set(asked.workspace, lent.loan);
+			return {units: lent.units, span: lent.span, retryAfter: lent.units > 0 ? 0 : emptyRetryMs};
 		},
 	};
 }
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -6,28 +6,31 @@
 export type GroupRuntime = {
 	readonly database: string;
 	readonly view: () => GroupView;
-	/** Takes in a changed view and wakes the requests that waited for it. */
+	/** Applies a changed view, aborts the attempts of earlier terms, and ends the waits that the view satisfies. */
 	readonly update: (view: GroupView) => void;
 	/** Sends a probe to every instance. */
 	readonly probe: () => void;
+	/** Takes a connection to an instance from its pool; undefined when none came free in time. */
 	readonly acquire: (instance: string, demand: {
 		readonly workspace: string;
 		readonly cost: number;
-		/** Whether to use the gateway's connections or the few that any host may open. */
+		/** Whether to use the gateway's pool instead of the small pool that any host may open. */
 		readonly isGateway: boolean;
 		readonly deadline: number;
 		readonly signal: AbortSignal;
 	}) => Promise<Connection | undefined>;
+	/** Returns a connection to its pool. */
 	readonly release: (connection: Connection) => void;
 	/**
-	 * Waits until the view holds what is looked for; undefined after the deadline.
+	 * Waits until `find` finds a value in the view, and returns the value; undefined after the deadline.
 	 *
-	 * While an urgent wait is open, probes are sent without pause.
+	 * While an urgent wait is open, probes are sent within milliseconds instead of at the usual interval.
 	 */
 	readonly waitFor: <Found>(
 		find: (view: GroupView) => Found | undefined,
 		options: {readonly deadline: number; readonly isUrgent: boolean},
 	) => Promise<Found | undefined>;
+	/** Starts an attempt that ends with the term or at the deadline. */
 	readonly openAttempt: (term: number, deadline: number) => AttemptScope;
 	readonly findCommander: (instance: string) => Commander | undefined;
 	readonly close: () => void;
--- a/packages/proxy/home-buckets.ts
+++ b/packages/proxy/home-buckets.ts
@@ -1,18 +1,18 @@
 import type {Roster} from '@sapphirefall/decisions';
 import type {BorrowAsked, BorrowGranted, HandedBucket} from '@sapphirefall/hosts';
 
-/** Keeps the buckets of the workspaces whose home this host is. */
+/** The token buckets of the workspaces whose home host this host is. */
 export type HomeBuckets = {
-	/** Whether this host lends for all workspaces whose home it is. */
+	/** Whether this host may lend units of all workspaces whose home host it is. */
 	readonly isReady: () => boolean;
 	/**
-	 * Hands over the buckets of workspaces whose home is another host by a new roster.
+	 * Hands over the buckets of workspaces that a new roster assigns to another home host.
 	 *
-	 * Forgets all buckets when a roster was missed: another host may have lent meanwhile.
+	 * Drops all buckets when this host missed a roster, as another host may have lent their units meanwhile.
 	 */
 	readonly followRoster: (before: Roster, after: Roster) => void;
-	/** Takes a bucket over; false when this host does not know that it is the home. */
+	/** Takes over a bucket; false when this host's roster does not name it as the home host. */
 	readonly takeOver: (bucket: HandedBucket) => boolean;
-	/** Lends units of a workspace whose home this host is; undefined when it is not. */
+	/** Lends units of a workspace; undefined when this host is not its home host or may not lend now. */
 	readonly lend: (asked: BorrowAsked) => BorrowGranted | undefined;
 };
--- a/packages/proxy/rate-limiter.ts
+++ b/packages/proxy/rate-limiter.ts
@@ -1,7 +1,11 @@
 import type {AdmittedRequest, Answer} from '@sapphirefall/decisions';
 
-/** Holds workspaces to their rate and burst, counted over all hosts. */
+/** Limits workspaces to their rate and burst over all hosts. */
 export type RateLimiter = {
-	/** Takes a request's cost; waits for it when it will be there soon, and else answers with a refusal. */
+	/**
+	 * Takes a request's cost, and waits for the units when they are due in time.
+	 *
+	 * @returns The refusal when the units are not due in time, else undefined.
+	 */
 	readonly take: (request: AdmittedRequest) => Promise<Answer | undefined>;
 };
--- a/packages/proxy/standby-loans.ts
+++ b/packages/proxy/standby-loans.ts
@@ -1,9 +1,9 @@
 import type {BorrowAsked, BorrowGranted} from '@sapphirefall/hosts';
 
-/** Keeps parts of the buckets of workspaces whose home is another host, for when that host cannot lend. */
+/** Loans that this host holds as the standby host of workspaces, to lend on when their home host cannot lend. */
 export type StandbyLoans = {
-	/** Renews the part of a workspace, as its home asks. */
+	/** Renews the loan of a workspace at the request of its home host. */
 	readonly renew: (workspace: string) => void;
-	/** Lends from the part; undefined when this host has none. */
+	/** Lends units of the standby loan; undefined when this host has none for the workspace. */
 	readonly lend: (asked: BorrowAsked) => BorrowGranted | undefined;
 };
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -151,7 +151,7 @@
 		...settings.endpoints, timeout: settings.control.exchangeTimeout, clock, now,
 	});
 	const exchanger = createExchanger({
-		self, readState, dispatch, findPeer, clock, wordSpan: settings.keys.wordSpan, now,
+		self, readState, dispatch, findPeer, clock, maxTableAgeMs: settings.keys.wordSpan, now,
 	});
 	const changes = createChangeBackend({
 		self, platform, readState, dispatch, findPeer, events, log, now,
