--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -118,7 +118,7 @@
 		return pool;
 	};
 
-	/** Closes the pools that were idle for longer than `idleSpan`, as instances accept few connections. */
+	/** Closes the pools unused for longer than `idleSpan`, so that scarce connections are free for those that need them. */
 	const closeIdlePools = () => {
 		for (const {pools} of clients.values()) {
 			for (const [use, {pool, usedAt}] of pools) {
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -14,7 +14,7 @@
 	readonly countRunning: () => number;
 	/** Whether this host may lend units of the workspaces whose home host it is. */
 	readonly areRatesReady: () => boolean;
-	/** Greatest age in milliseconds of the configuration's last confirmation at which requests are admitted. */
+	/** Greatest age in milliseconds of the configuration's last confirmation at which keyed requests are admitted. */
 	readonly staleAfter: number;
 	readonly drain: () => void;
 	readonly now: () => number;
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -17,7 +17,8 @@
 	readonly rates: RateLimiter;
 	readonly findPeer: FindPeer;
 	readonly findGroup: (database: string) => GroupRuntime | undefined;
-	readonly demand: (database: string) => void;
+	/** Called for each request that this host executes on a group. */
+	readonly onGroupRequested: (database: string) => void;
 	readonly sessions: {
 		readonly write: (claim: SessionClaim) => string;
 		readonly read: (token: string) => SessionClaim | undefined;
@@ -28,23 +29,23 @@
 	readonly wallNow: () => number;
 };
 
-type Handled = {readonly answer: Answer; readonly session: string};
+type HandledRequest = {readonly answer: Answer; readonly session: string};
 
 type RequestHandler = {
-	readonly handle: (request: Request) => Promise<Handled>;
-	/** Executes a request that another host has admitted, as its gateway. */
+	readonly handle: (request: Request) => Promise<HandledRequest>;
+	/** Executes, as the gateway, a request that another host has admitted. */
 	readonly executeForwarded: (request: AdmittedRequest) => Promise<Answer>;
-	/** Requests that run now. */
+	/** Returns the number of requests in progress. */
 	readonly countRunning: () => number;
-	/** Resolves when no request runs. */
+	/** Resolves when no request is in progress. */
 	readonly waitForIdle: () => Promise<void>;
 };
 
-/** Creates what takes a caller's request from the door to its answer. */
+/** Creates the handler that admits, rate-limits and executes the requests of callers. */
 export function createRequestHandler(options: Options): RequestHandler {
 	const {settings, events, metrics, now} = options;
 	const idleWaiters = new Set<() => void>();
-	let budget: RetryBudget = {retries: 10};
+	let retryBudget: RetryBudget = {retries: 10};
 	let running = 0;
 
 	const admit = (request: Request) => {
@@ -69,8 +70,8 @@
 			return createRefusal(resultCodes.unknownDatabase, {reason: `the database "${request.database}" does not exist`});
 		}
 
-		options.demand(request.database);
-		budget = addRetryCredit(budget);
+		options.onGroupRequested(request.database);
+		retryBudget = addRetryCredit(retryBudget);
 		return executeRequest(request, {
 			group,
 			isGateway,
@@ -79,8 +80,8 @@
 			wallNow: options.wallNow,
 			retention: settings.idempotency.retention,
 			takeRetry() {
-				const taken = takeRetry(budget);
-				budget = taken.budget;
+				const taken = takeRetry(retryBudget);
+				retryBudget = taken.budget;
 				if (taken.isTaken) {
 					metrics.retries.inc();
 				}
@@ -95,7 +96,7 @@
 		});
 	};
 
-	/** Executes a request at its gateway, or here when the gateway's answer is lost. */
+	/** Executes a request through its gateway, or on this host when the gateway does not answer. */
 	const execute = async (request: AdmittedRequest): Promise<Answer> => {
 		const gateway = chooseGateway(options.readState(), request);
 		const peer = gateway === settings.host.id ? undefined : options.findPeer(gateway);
@@ -111,54 +112,54 @@
 		events.emit({
 			kind: 'attempt-failed', request: request.requestId, workspace: request.workspace, database: request.database, detail: `the gateway ${gateway} did not answer`,
 		});
-		return withholdNotRun(request, now() < request.deadline
+		return replaceNotRun(request, now() < request.deadline
 			? await executeHere(request, false)
 			: {kind: 'unknown', code: resultCodes.deadlinePassed, reason: 'the gateway did not answer before the deadline'});
 	};
 
-	const signSession = (request: AdmittedRequest, answer: Answer): string => {
+	const createSessionToken = (request: AdmittedRequest, answer: Answer): string => {
 		if (answer.kind !== 'done') {
 			return '';
 		}
 
-		const known = request.work.kind === 'read' ? request.work.point : undefined;
-		const point = answer.point ?? known;
+		const requestPoint = request.work.kind === 'read' ? request.work.point : undefined;
+		const point = answer.point ?? requestPoint;
 		return point === undefined
 			? ''
 			: options.sessions.write({workspace: request.workspace, database: request.database, point});
 	};
 
-	const run = async (request: AdmittedRequest): Promise<Handled> => {
+	const run = async (request: AdmittedRequest): Promise<HandledRequest> => {
 		running++;
 		metrics.running.set(running);
-		const names = {request: request.requestId, workspace: request.workspace, database: request.database};
-		events.emit({kind: 'request-admitted', ...names, detail: describeWork(request)});
+		const eventFields = {request: request.requestId, workspace: request.workspace, database: request.database};
+		events.emit({kind: 'request-admitted', ...eventFields, detail: describeRequestClass(request)});
 		try {
 			const answer = await options.rates.take(request) ?? await execute(request);
 			const elapsed = now() - request.arrivedAt;
-			events.emit({kind: 'request-answered', ...names, detail: `${describeAnswer(answer)} in ${elapsed.toFixed(1)} ms`});
-			metrics.seconds.observe({class: describeWork(request)}, elapsed / 1000);
-			metrics.requests.inc({class: describeWork(request), code: findCode(answer)});
-			countRead(request, answer);
-			return {answer, session: signSession(request, answer)};
+			events.emit({kind: 'request-answered', ...eventFields, detail: `${describeAnswer(answer)} in ${elapsed.toFixed(1)} ms`});
+			metrics.seconds.observe({class: describeRequestClass(request)}, elapsed / 1000);
+			metrics.requests.inc({class: describeRequestClass(request), code: findCode(answer)});
+			recordRead(request, answer);
+			return {answer, session: createSessionToken(request, answer)};
 		} finally {
 			running--;
 			metrics.running.set(running);
-			wakeIdle();
+			notifyIdle();
 		}
 	};
 
-	const countRead = (request: AdmittedRequest, answer: Answer) => {
+	const recordRead = (request: AdmittedRequest, answer: Answer) => {
 		if (request.work.kind === 'read' && answer.kind === 'done') {
 			const primary = options.findGroup(request.database)?.view().primary;
 			metrics.reads.inc({role: answer.instance === primary ? 'primary' : 'replica'});
 		}
 	};
 
-	const wakeIdle = () => {
+	const notifyIdle = () => {
 		if (running === 0) {
-			for (const wake of idleWaiters) {
-				wake();
+			for (const resolve of idleWaiters) {
+				resolve();
 			}
 
 			idleWaiters.clear();
@@ -182,27 +183,27 @@
 				return await executeHere(request, true);
 			} finally {
 				running--;
-				wakeIdle();
+				notifyIdle();
 			}
 		},
 		countRunning: () => running,
 		async waitForIdle() {
 			await new Promise<void>(resolve => {
 				idleWaiters.add(resolve);
-				wakeIdle();
+				notifyIdle();
 			});
 		},
 	};
 }
 
-/** Turns "not run" into "unknown" for a write that the gateway may still run. */
-function withholdNotRun(request: AdmittedRequest, answer: Answer): Answer {
+/** Replaces "not run" by "unknown" for a write, as the gateway may still run it. */
+function replaceNotRun(request: AdmittedRequest, answer: Answer): Answer {
 	return answer.kind === 'notRun' && request.work.kind === 'write'
 		? {kind: 'unknown', code: resultCodes.answerLost, reason: `the gateway did not answer, and ${answer.reason}`}
 		: answer;
 }
 
-function describeWork({work}: AdmittedRequest): string {
+function describeRequestClass({work}: AdmittedRequest): string {
 	return work.kind === 'write' ? 'write' : work.freshness.kind;
 }
 
--- a/packages/proxy/execute-read.ts
+++ b/packages/proxy/execute-read.ts
@@ -8,33 +8,34 @@
 
 type ReadRequest = AdmittedRequest & {readonly work: {readonly kind: 'read'}};
 
-/** The instance chosen for a read, and the term in which it was chosen; the instance refuses any other. */
-type Plan = {
+/** The instance chosen for a read, and the term of that choice; the instance refuses a read of any other term. */
+type InstanceChoice = {
 	readonly kind: 'replica' | 'primary';
 	readonly instance: string;
 	readonly term: number;
 };
 
-/** What an instance answered to a read. */
-type Result = {
+/** The answer of an instance to a read. */
+type ReadResult = {
 	readonly kind: 'read';
 	readonly results: readonly SqlResult[];
-	readonly at: LogPoint;
+	/** Log position of the instance when it answered. */
+	readonly point: LogPoint;
 	readonly instance: string;
 	readonly term: number;
 };
 
-/** Share of the time left that a read waits for a connection to one instance before it tries another. */
-const waitShare = 0.3;
+/** Share of the time left until the deadline that a read waits for a connection before it tries another instance. */
+const connectionWaitShare = 0.3;
 
-/** Milliseconds that a read waits for a connection to one instance at most. */
-const longestWait = 1000;
+/** Greatest time that a read waits for a connection to one instance. */
+const maxConnectionWaitMs = 1000;
 
 /**
- * Executes a read: on a replica whose data is proven fresh enough, else on the primary.
+ * Executes a read on a replica that is known to be fresh enough, else on the primary.
  *
- * The proof is checked against the log end that the answer itself carries, so an instance that fell back
- * between choice and answer cannot serve older data.
+ * The freshness is checked again with the log position in the answer, so that an instance whose log was truncated after
+ * it was chosen cannot serve older data.
  */
 export async function executeRead(request: ReadRequest, context: ExecutionContext): Promise<Answer> {
 	const failed = new Set<string>();
@@ -58,13 +59,13 @@
 
 	const result = await runRead(request, {context, plan});
 	if (plan.kind === 'primary') {
-		// A replica that failed once may be all that is left.
+		// If the primary fails too, a replica that failed before may be the only choice left for the next attempt.
 		failed.clear();
-		return result.kind === 'read' ? proveRead(request, {context, result}) : result;
+		return result.kind === 'read' ? confirmRead(request, {context, result}) : result;
 	}
 
-	if (result.kind === 'read' && isProven(request, {context, result})) {
-		return createDone(result, undefined);
+	if (result.kind === 'read' && isFreshEnough(request, {context, result})) {
+		return createDoneAttempt(result, undefined);
 	}
 
 	failed.add(plan.instance);
@@ -73,7 +74,7 @@
 		: result;
 }
 
-/** Leaves out the replicas that have failed this request. */
+/** Removes from a view the instances that have failed this request. */
 function excludeInstances(view: GroupView, failed: ReadonlySet<string>): GroupView {
 	return failed.size === 0
 		? view
@@ -82,12 +83,12 @@
 
 async function runRead(
 	request: ReadRequest,
-	options: {readonly context: ExecutionContext; readonly plan: Plan},
-): Promise<Result | Attempt> {
+	options: {readonly context: ExecutionContext; readonly plan: InstanceChoice},
+): Promise<ReadResult | Attempt> {
 	const {context} = options;
 	const {instance, term} = options.plan;
 	const now = context.now();
-	const deadline = now + Math.min(longestWait, (request.deadline - now) * waitShare);
+	const deadline = now + Math.min(maxConnectionWaitMs, (request.deadline - now) * connectionWaitShare);
 	const scope = context.group.openAttempt(term, request.deadline);
 	try {
 		const connection = await context.group.acquire(instance, {
@@ -104,7 +105,7 @@
 		switch (outcome.kind) {
 			case 'ran': {
 				return {
-					kind: 'read', results: outcome.results, at: outcome.at, instance, term,
+					kind: 'read', results: outcome.results, point: outcome.at, instance, term,
 				};
 			}
 
@@ -123,35 +124,36 @@
 	}
 }
 
-/** Tells whether a replica's answer is as fresh as the read demands. */
-function isProven(
+/** Returns whether a replica's answer is as fresh as the read requires. */
+function isFreshEnough(
 	request: ReadRequest,
-	options: {readonly context: ExecutionContext; readonly result: Result},
+	options: {readonly context: ExecutionContext; readonly result: ReadResult},
 ): boolean {
 	const {freshness, point} = request.work;
 	const {context, result} = options;
-	if (result.at.term !== result.term) {
+	if (result.point.term !== result.term) {
 		return false;
 	}
 
 	return freshness.kind === 'within'
-		? findAge(context.group.view(), {at: result.at, now: context.now()}) <= freshness.age
-		: point !== undefined && isCovered(point, result.at);
+		? findAge(context.group.view(), {at: result.point, now: context.now()}) <= freshness.age
+		: point !== undefined && isCovered(point, result.point);
 }
 
 /**
- * Proves an answer of the primary.
+ * Confirms an answer of the primary.
  *
- * Waits until a majority holds all that the answer saw and, unless the session's own point suffices, until a
- * majority is known to have held the primary's term since the read arrived or since the accepted age ago.
+ * Waits until a majority holds the log up to the position of the answer. Unless the session's own position suffices, it
+ * also waits until a majority is known to have held the primary's term no earlier than the arrival of the read or, for a
+ * read that accepts a staleness, no earlier than that long ago.
  */
-async function proveRead(
+async function confirmRead(
 	request: ReadRequest,
-	options: {readonly context: ExecutionContext; readonly result: Result},
+	options: {readonly context: ExecutionContext; readonly result: ReadResult},
 ): Promise<Attempt> {
 	const {context, result} = options;
 	const {freshness, point} = request.work;
-	const isOwnPoint = freshness.kind === 'session' && point !== undefined && isCovered(point, result.at);
+	const isOwnPoint = freshness.kind === 'session' && point !== undefined && isCovered(point, result.point);
 	const settled = await context.group.waitFor(view => {
 		if (view.term > result.term) {
 			return 'replaced';
@@ -159,11 +161,11 @@
 
 		const since = freshness.kind === 'within' ? context.now() - freshness.age : request.arrivedAt;
 		const isCurrent = isOwnPoint || (view.proof !== undefined && view.proof.since >= since);
-		const isHeld = view.acknowledged !== undefined && isCovered(result.at, view.acknowledged);
-		return isCurrent && isHeld ? 'proven' : undefined;
+		const isHeld = view.acknowledged !== undefined && isCovered(result.point, view.acknowledged);
+		return isCurrent && isHeld ? 'confirmed' : undefined;
 	}, {deadline: request.deadline, isUrgent: true});
-	return settled === 'proven'
-		? createDone(result, result.at)
+	return settled === 'confirmed'
+		? createDoneAttempt(result, result.point)
 		: {
 			kind: 'failed',
 			mayHaveRun: true,
@@ -171,7 +173,7 @@
 		};
 }
 
-function createDone(result: Result, point: LogPoint | undefined): Attempt {
+function createDoneAttempt(result: ReadResult, point: LogPoint | undefined): Attempt {
 	return {
 		kind: 'answered',
 		answer: {
--- a/packages/proxy/execute-write.ts
+++ b/packages/proxy/execute-write.ts
@@ -10,10 +10,10 @@
 import type {WriteRequest} from './_write-request.ts';
 
 /**
- * Executes a write: runs it with its idempotency record in one transaction at the primary, and acknowledges it
- * once a majority of the group holds it in the primary's term.
+ * Executes a write: runs it with its idempotency record in one transaction at the primary, and answers when a majority
+ * of the group holds it in the primary's term.
  *
- * An attempt whose commit or acknowledgement is lost is repeated; the record makes the repeat harmless.
+ * An attempt whose commit or acknowledgement is lost is repeated; the idempotency record prevents a second execution.
  */
 export async function executeWrite(request: WriteRequest, context: ExecutionContext): Promise<Answer> {
 	return repeatAttempts(request, {context, attempt: async () => attemptWrite(request, context)});
@@ -35,7 +35,7 @@
 	try {
 		const connection = await group.acquire(instance, {...request, isGateway: context.isGateway, signal: scope.signal});
 		if (connection === undefined) {
-			return createBusy(context, request);
+			return createBusyAttempt(context, request);
 		}
 
 		const outcome = await runTransaction({
@@ -43,7 +43,7 @@
 		});
 		group.release(connection);
 		return outcome.kind === 'committed'
-			? await acknowledge(outcome, {
+			? await waitForMajority(outcome, {
 				request, context, term, instance,
 			})
 			: outcome;
@@ -52,7 +52,7 @@
 	}
 }
 
-function createBusy(context: ExecutionContext, request: WriteRequest): Attempt {
+function createBusyAttempt(context: ExecutionContext, request: WriteRequest): Attempt {
 	const isLate = context.now() >= request.deadline;
 	const refusal = createRefusal(resultCodes.connectionsBusy, {
 		reason: 'no connection to the primary came free before the deadline', retryAfter: busyRetryAfterMs,
@@ -63,7 +63,7 @@
 }
 
 /** Waits until a majority holds the transaction in the term in which it committed. */
-async function acknowledge(
+async function waitForMajority(
 	committed: CommittedTransaction,
 	options: {
 		readonly request: WriteRequest;
@@ -73,25 +73,25 @@
 	},
 ): Promise<Attempt> {
 	const {request, context, term, instance} = options;
-	const {point: at} = committed;
-	const settled = await context.group.waitFor(view => {
+	const {point} = committed;
+	const result = await context.group.waitFor(view => {
 		if (view.term > term) {
 			return 'replaced';
 		}
 
-		return view.acknowledged !== undefined && isCovered(at, view.acknowledged) ? 'held' : undefined;
+		return view.acknowledged !== undefined && isCovered(point, view.acknowledged) ? 'held' : undefined;
 	}, {deadline: request.deadline, isUrgent: true});
-	return settled === 'held'
+	return result === 'held'
 		? {
 			kind: 'answered',
 			answer: {
-				kind: 'done', results: committed.results, point: at, isReplayed: committed.isReplayed, instance,
+				kind: 'done', results: committed.results, point, isReplayed: committed.isReplayed, instance,
 			},
 		}
 		: {
 			kind: 'failed',
 			mayHaveRun: true,
-			reason: settled === 'replaced'
+			reason: result === 'replaced'
 				? 'the primary was replaced before a majority held the write'
 				: 'no majority held the write before the deadline',
 		};
--- a/packages/proxy/execution-context.ts
+++ b/packages/proxy/execution-context.ts
@@ -1,19 +1,20 @@
 import type {GroupRuntime} from './group-runtime.ts';
 
-/** What the execution of a request needs besides the request. */
+/** Dependencies and settings of the execution of a request. */
 export type ExecutionContext = {
 	readonly group: GroupRuntime;
-	/** Whether this host is the gateway, which has more connections than others. */
+	/** Whether this host is the request's gateway and uses the gateway's pool instead of the small direct one. */
 	readonly isGateway: boolean;
+	/** Zone of this host; reads prefer replicas in it. */
 	readonly zone: string;
-	/** Present monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Present wall-clock milliseconds. */
+	/** Returns the current wall-clock time in milliseconds. */
 	readonly wallNow: () => number;
 	/** Milliseconds for which an idempotency record is kept. */
 	readonly retention: number;
-	/** Takes one retry from the host's budget, if there is one. */
+	/** Takes one retry from the host's retry budget; false when the budget is used up. */
 	readonly takeRetry: () => boolean;
-	/** Told of each attempt that did not give the answer. */
+	/** Called for each failed attempt. */
 	readonly onAttemptFailed: (reason: string) => void;
 };
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -24,7 +24,7 @@
 	/**
 	 * Waits until `find` finds a value in the view, and returns the value; undefined after the deadline.
 	 *
-	 * While an urgent wait is open, probes are sent within milliseconds instead of at the usual interval.
+	 * While an urgent wait is open, probes are sent more often than at the usual interval.
 	 */
 	readonly waitFor: <Found>(
 		find: (view: GroupView) => Found | undefined,
--- a/packages/proxy/host-log.ts
+++ b/packages/proxy/host-log.ts
@@ -1,4 +1,4 @@
-/** The log lines of a host: short sentences, each with the prefix of its part. */
+/** The log of a host. Lines are short sentences, each with the prefix of its subsystem. */
 export type HostLog = {
 	readonly debug: (line: string) => void;
 	readonly info: (line: string) => void;
--- a/packages/proxy/running-host.ts
+++ b/packages/proxy/running-host.ts
@@ -6,27 +6,30 @@
 import type {OperatorBackend} from '@sapphirefall/operators';
 import type {ChangeBackend} from './change-backend.ts';
 
-/** A host that runs, without its listeners. */
+/** A running host without its listeners. */
 export type RunningHost = {
 	readonly handle: (request: Request) => Promise<{readonly answer: Answer; readonly session: string}>;
+	/** Applies the message of another host and returns what that host lacks. */
 	readonly exchange: (content: ExchangeContent) => ExchangeContent;
+	/** Whether this host, too, suspects the primary of a group in a term. */
 	readonly confirm: (database: string, term: number) => boolean;
 	readonly operators: OperatorBackend;
 	/** Executes a request that another host has admitted. */
 	readonly execute: (request: AdmittedRequest) => Promise<Answer>;
-	/** Orders what happens here after what other hosts have seen. */
+	/** Hybrid logical clock, which orders events of this host after those that other hosts have sent. */
 	readonly clock: HybridClock;
-	/** Present monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Lends units of a workspace; undefined when this host is neither its home nor a standby that holds a part. */
+	/** Lends units of a workspace; undefined when this host is neither its home host nor holds a standby loan for it. */
 	readonly lend: (asked: BorrowAsked) => BorrowGranted | undefined;
-	/** Keeps a part of a workspace's bucket as the standby of its home. */
+	/** Renews the standby loan of a workspace at the request of its home host. */
 	readonly stand: (workspace: string) => void;
-	/** Takes the bucket of a workspace over; false when this host does not know that it is its home. */
+	/** Takes over the bucket of a workspace; false when this host's roster does not name it as the home host. */
 	readonly takeOver: (bucket: HandedBucket) => boolean;
-	/** Commits a change that another host passed on. */
+	/** Commits a change that another host forwarded. */
 	readonly takeChange: ChangeBackend['takeChange'];
-	/** Stops taking requests, and resolves when those that run have ended. */
+	/** Refuses new requests, and resolves when none is in progress. */
 	readonly drain: () => Promise<void>;
+	/** Stops the control loop's timer and closes the connections to instances. */
 	readonly stop: () => void;
 };
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -27,18 +27,18 @@
 	readonly settings: HostFile;
 	readonly log: HostLog;
 	readonly onEvent: (event: ProcessEvent) => void;
-	/** Present monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Present wall-clock milliseconds. */
+	/** Returns the current wall-clock time in milliseconds. */
 	readonly wallNow: () => number;
 	/** Called when an operator asks the host to drain. */
 	readonly onDrainRequested: () => void;
 };
 
 /**
- * Starts a host: its control loop, its peers and its request path. Listeners are the caller's to open.
+ * Starts the control loop, the peer clients and the request handler of a host. The caller opens the listeners.
  *
- * @param options Settings, clocks, and where logs and events go.
+ * @param options Settings, clocks, the log, and callbacks.
  */
 export function startHost(options: Options): RunningHost {
 	const {settings, log, now, wallNow} = options;
@@ -50,7 +50,7 @@
 	const metrics = createMetrics();
 	const platform = createPlatformClient(settings.platform.address, settings.platform.timeout);
 	const runtimes = new Map<string, GroupRuntime>();
-	const demandedAt = new Map<string, number>();
+	const lastRequestAt = new Map<string, number>();
 	const findGroup = (database: string) => runtimes.get(database);
 
 	const createRuntime = (database: string, view: Parameters<typeof createGroupRuntime>[0]) => createGroupRuntime(view, {
@@ -63,9 +63,9 @@
 		},
 	});
 
-	const followState = (before: HostState, after: HostState) => {
+	const applyState = (before: HostState, after: HostState) => {
 		if (before.roster !== after.roster) {
-			homes.followRoster(before.roster, after.roster);
+			homeBuckets.followRoster(before.roster, after.roster);
 		}
 
 		if (before.groups === after.groups) {
@@ -86,7 +86,7 @@
 		try {
 			loop.dispatch({kind: 'fleetRead', ...await platform.listFleet()});
 		} catch {
-			log.debug('platform: The list of hosts and databases could not be read.');
+			log.debug('platform: Reading the list of hosts and databases failed.');
 		}
 	};
 
@@ -142,7 +142,7 @@
 		incarnation,
 		settings: createHostSettings(settings),
 		now,
-		onStep: followState,
+		onStep: applyState,
 		onEffect: runEffect,
 	});
 	const {dispatch} = loop;
@@ -159,36 +159,36 @@
 	const runFailover = createFailoverRunner({
 		owner, readState, dispatch, findGroup, findPeer, events, metrics, log, now,
 	});
-	const homes = createHomeBuckets({
+	const homeBuckets = createHomeBuckets({
 		self, settings: settings.rate, readState, findPeer, now,
 	});
-	const stocks = createStandbyLoans({
+	const standbyLoans = createStandbyLoans({
 		owner, settings: settings.rate, readState, findPeer, now,
 	});
 	const lend = (asked: BorrowAsked) => {
-		const granted = homes.lend(asked);
-		return (granted?.units ?? 0) > 0 ? granted : stocks.lend(asked) ?? granted;
+		const granted = homeBuckets.lend(asked);
+		return (granted?.units ?? 0) > 0 ? granted : standbyLoans.lend(asked) ?? granted;
 	};
 
 	const borrower = createBorrower({
 		self, owner, settings: settings.rate, readState, findPeer, lend, metrics, now,
 	});
-	const rates = createRateLimiter({
+	const rateLimiter = createRateLimiter({
 		self, settings: settings.rate, readState, borrower, now,
 	});
 	const requests = createRequestHandler({
 		settings,
 		readState,
 		findGroup,
-		demand(database) {
+		onGroupRequested(database) {
 			const at = now();
-			if (at - (demandedAt.get(database) ?? -Infinity) > settings.control.probeInterval) {
-				demandedAt.set(database, at);
+			if (at - (lastRequestAt.get(database) ?? -Infinity) > settings.control.probeInterval) {
+				lastRequestAt.set(database, at);
 				dispatch({kind: 'demanded', database});
 			}
 		},
 		findPeer,
-		rates,
+		rates: rateLimiter,
 		sessions: createSessionCodec(settings.secrets.session),
 		events,
 		metrics,
@@ -203,7 +203,7 @@
 		events,
 		metrics,
 		countRunning: requests.countRunning,
-		areRatesReady: homes.isReady,
+		areRatesReady: homeBuckets.isReady,
 		staleAfter: settings.keys.staleAfter,
 		drain: options.onDrainRequested,
 		now,
@@ -221,8 +221,8 @@
 		clock,
 		now,
 		lend,
-		stand: stocks.renew,
-		takeOver: homes.takeOver,
+		stand: standbyLoans.renew,
+		takeOver: homeBuckets.takeOver,
 		takeChange: changes.takeChange,
 		confirm(database, term) {
 			const group = readState().groups.get(database);
@@ -233,7 +233,7 @@
 		operators,
 		async drain() {
 			events.emit({kind: 'process-draining'});
-			log.info('host: The host takes no more requests.');
+			log.info('host: The host is draining and refuses new requests.');
 			dispatch({kind: 'drained'});
 			await requests.waitForIdle();
 		},
