--- a/packages/proxy/create-failover-runner.ts
+++ b/packages/proxy/create-failover-runner.ts
@@ -44,7 +44,7 @@
 				dispatch({kind: 'failover', database: request.database, event: {kind: 'confirmed', zone: request.zone}});
 			}
 		} catch {
-			log.debug(`hosts: Host ${request.id} did not answer whether it suspects the primary of database ${request.database}.`);
+			log.debug(`hosts: Host ${request.id} did not answer the confirmation request.`);
 		}
 	};
 
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -14,7 +14,7 @@
 type Options = {
 	readonly settings: HostFile;
 	readonly readState: () => HostState;
-	readonly rates: RateLimiter;
+	readonly rateLimiter: RateLimiter;
 	readonly findPeer: FindPeer;
 	readonly findGroup: (database: string) => GroupRuntime | undefined;
 	/** Called for each request that this host executes on a group. */
@@ -135,7 +135,7 @@
 		const eventFields = {request: request.requestId, workspace: request.workspace, database: request.database};
 		events.emit({kind: 'request-admitted', ...eventFields, detail: describeRequestClass(request)});
 		try {
-			const answer = await options.rates.take(request) ?? await execute(request);
+			const answer = await options.rateLimiter.take(request) ?? await execute(request);
 			const elapsed = now() - request.arrivedAt;
 			events.emit({kind: 'request-answered', ...eventFields, detail: `${describeAnswer(answer)} in ${elapsed.toFixed(1)} ms`});
 			metrics.seconds.observe({class: describeRequestClass(request)}, elapsed / 1000);
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -188,7 +188,7 @@
 			}
 		},
 		findPeer,
-		rates: rateLimiter,
+		rateLimiter,
 		sessions: createSessionCodec(settings.secrets.session),
 		events,
 		metrics,
