--- a/packages/proxy/create-home-buckets.test.ts
+++ b/packages/proxy/create-home-buckets.test.ts
@@ -36,7 +36,7 @@
 	workspace: 'upper', head: 3, level: 50, loans: [],
 };
 
-describe('createBucketHomes', () => {
+describe('createHomeBuckets', () => {
 	it('lends nothing until the previous home host must have stopped and its loans have expired', () => {
 		const {clock, borrow} = createBuckets();
 		expect(borrow(1, 1)).to.equal(undefined);
