--- /dev/null
+++ b/packages/proxy/_busy-retry-after-ms.ts
@@ -0,0 +1,2 @@
+/** Milliseconds after which a caller may retry when all connections are in use. */
+export const busyRetryAfterMs = 200;
--- a/packages/proxy/_busy-retry.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Milliseconds after which a caller may try again when all connections are busy. */
-export const busyRetry = 200;
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -8,16 +8,16 @@
 import type {HostFile} from '@sapphirefall/settings';
 import type {LoanRequest} from '@sapphirefall/hosts';
 import {createBorrower} from './create-borrower.ts';
-import {createBucketHomes} from './create-bucket-homes.ts';
+import {createHomeBuckets} from './create-home-buckets.ts';
 import {createChangeBackend} from './create-change-backend.ts';
 import {createExchanger} from './create-exchanger.ts';
 import {createFailoverRunner} from './create-failover-runner.ts';
 import {createGroupRuntime} from './create-group-runtime.ts';
-import {createLoop} from './create-loop.ts';
+import {createControlLoop} from './create-control-loop.ts';
 import {createOperatorBackend} from './create-operator-backend.ts';
 import {createPeers} from './create-peers.ts';
-import {createRateGate} from './create-rate-gate.ts';
-import {createStandbyStocks} from './create-standby-stocks.ts';
+import {createRateLimiter} from './create-rate-limiter.ts';
+import {createStandbyLoans} from './create-standby-loans.ts';
 import {createRequestHandler} from './create-request-handler.ts';
 import type {GroupRuntime} from './group-runtime.ts';
 import type {HostLog} from './host-log.ts';
@@ -27,18 +27,18 @@
 	readonly settings: HostFile;
 	readonly log: HostLog;
 	readonly onEvent: (event: ProcessEvent) => void;
-	/** Present monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Present wall-clock milliseconds. */
+	/** Returns the current wall-clock time in milliseconds. */
 	readonly wallNow: () => number;
 	/** Called when an operator asks the host to drain. */
-	readonly onDrainAsked: () => void;
+	readonly onDrainRequested: () => void;
 };
 
 /**
- * Starts a host: its control loop, its peers and its request path. Listeners are the caller's to open.
+ * Starts the control loop, the peer clients and the request handler of a host. The caller opens the listeners.
  *
- * @param options Settings, clocks, and where logs and events go.
+ * @param options Settings, clocks, the log, and callbacks.
  */
 export function startHost(options: Options): RunningHost {
 	const {settings, log, now, wallNow} = options;
@@ -50,7 +50,7 @@
 	const metrics = createMetrics();
 	const platform = createPlatformClient(settings.platform.address, settings.platform.timeout);
 	const runtimes = new Map<string, GroupRuntime>();
-	const demandedAt = new Map<string, number>();
+	const lastRequestAt = new Map<string, number>();
 	const findGroup = (database: string) => runtimes.get(database);
 
 	const createRuntime = (database: string, view: Parameters<typeof createGroupRuntime>[0]) => createGroupRuntime(view, {
@@ -63,9 +63,9 @@
 		},
 	});
 
-	const followState = (before: HostState, after: HostState) => {
+	const applyState = (before: HostState, after: HostState) => {
 		if (before.roster !== after.roster) {
-			homes.followRoster(before.roster, after.roster);
+			homeBuckets.followRoster(before.roster, after.roster);
 		}
 
 		if (before.groups === after.groups) {
@@ -86,7 +86,7 @@
 		try {
 			loop.dispatch({kind: 'fleetRead', ...await platform.listFleet()});
 		} catch {
-			log.debug('platform: The list of hosts and databases could not be read.');
+			log.debug('platform: Reading the list of hosts and databases failed.');
 		}
 	};
 
@@ -137,12 +137,12 @@
 		}
 	};
 
-	const loop = createLoop({
+	const loop = createControlLoop({
 		host: createSelf(settings),
 		incarnation,
 		settings: createHostSettings(settings),
 		now,
-		onStep: followState,
+		onStep: applyState,
 		onEffect: runEffect,
 	});
 	const {dispatch} = loop;
@@ -151,7 +151,7 @@
 		...settings.endpoints, timeoutMs: settings.control.exchangeTimeout, clock, now,
 	});
 	const exchanger = createExchanger({
-		self, readState, dispatch, findPeer, clock, wordSpan: settings.keys.wordSpan, now,
+		self, readState, dispatch, findPeer, clock, maxTableAgeMs: settings.keys.wordSpan, now,
 	});
 	const changes = createChangeBackend({
 		self, platform, readState, dispatch, findPeer, events, log, now,
@@ -159,36 +159,36 @@
 	const runFailover = createFailoverRunner({
 		owner, readState, dispatch, findGroup, findPeer, events, metrics, log, now,
 	});
-	const homes = createBucketHomes({
+	const homeBuckets = createHomeBuckets({
 		self, settings: settings.rate, readState, findPeer, now,
 	});
-	const stocks = createStandbyStocks({
+	const standbyLoans = createStandbyLoans({
 		owner, settings: settings.rate, readState, findPeer, now,
 	});
 	const lend = (asked: LoanRequest) => {
-		const granted = homes.lend(asked);
-		return (granted?.units ?? 0) > 0 ? granted : stocks.lend(asked) ?? granted;
+		const granted = homeBuckets.lend(asked);
+		return (granted?.units ?? 0) > 0 ? granted : standbyLoans.lend(asked) ?? granted;
 	};
 
 	const borrower = createBorrower({
 		self, owner, settings: settings.rate, readState, findPeer, lend, metrics, now,
 	});
-	const rates = createRateGate({
+	const rateLimiter = createRateLimiter({
 		self, settings: settings.rate, readState, borrower, now,
 	});
 	const requests = createRequestHandler({
 		settings,
 		readState,
 		findGroup,
-		demand(database) {
+		onGroupRequested(database) {
 			const at = now();
-			if (at - (demandedAt.get(database) ?? -Infinity) > settings.control.probeInterval) {
-				demandedAt.set(database, at);
+			if (at - (lastRequestAt.get(database) ?? -Infinity) > settings.control.probeInterval) {
+				lastRequestAt.set(database, at);
 				dispatch({kind: 'groupRequested', database});
 			}
 		},
 		findPeer,
-		rates,
+		rateLimiter,
 		sessions: createSessionCodec(settings.secrets.session),
 		events,
 		metrics,
@@ -203,9 +203,9 @@
 		events,
 		metrics,
 		countRunning: requests.countRunning,
-		areRatesReady: homes.isReady,
+		areRatesReady: homeBuckets.isReady,
 		staleAfter: settings.keys.staleAfter,
-		drain: options.onDrainAsked,
+		drain: options.onDrainRequested,
 		now,
 	});
 
@@ -221,8 +221,8 @@
 		clock,
 		now,
 		lend,
-		stand: stocks.stand,
-		takeOver: homes.takeOver,
+		stand: standbyLoans.renew,
+		takeOver: homeBuckets.takeOver,
 		takeChange: changes.takeChange,
 		confirm(database, term) {
 			const group = readState().groups.get(database);
@@ -233,7 +233,7 @@
 		operators,
 		async drain() {
 			events.emit({kind: 'process-draining'});
-			log.info('host: The host takes no more requests.');
+			log.info('host: The host is draining and refuses new requests.');
 			dispatch({kind: 'drainStarted'});
 			await requests.waitForIdle();
 		},
