--- a/packages/endpoints/create-commander.ts
+++ b/packages/endpoints/create-failover-client.ts
@@ -1,7 +1,7 @@
 import {createClient} from '@connectrpc/connect';
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {decodeReport, EndpointService, type FenceResponse} from '@sapphirefall/wire';
-import type {Commander} from './commander.ts';
+import type {FailoverClient} from './failover-client.ts';
 
 /**
  * Creates the commander of one instance.
@@ -9,7 +9,7 @@
  * @param address URL of the instance.
  * @param timeout Milliseconds to wait for an answer.
  */
-export function createCommander(address: string, timeout: number): Commander {
+export function createFailoverClient(address: string, timeout: number): FailoverClient {
 	// A failed session must not delay the next command, so each has its own.
 	const createOnce = () => createClient(EndpointService, createConnectTransport({baseUrl: address, httpVersion: '2'}));
 	const options = {timeoutMs: timeout};
--- a/packages/endpoints/mod.ts
+++ b/packages/endpoints/mod.ts
@@ -1,9 +1,9 @@
 /** Database endpoints as a peer: connections, pools, probes and failover commands. */
 export type * from './batch-outcome.ts';
 export type * from './batch.ts';
-export type * from './commander.ts';
+export type * from './failover-client.ts';
 export type * from './connection.ts';
-export * from './create-commander.ts';
+export * from './create-failover-client.ts';
 export * from './create-pool.ts';
 export * from './open-connection.ts';
 export * from './open-prober.ts';
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -1,6 +1,6 @@
 import type {GroupView, InstanceReport} from '@sapphirefall/decisions';
 import {
-	createCommander, createPool, openConnection, openProber, type Commander, type Connection, type Pool, type Prober,
+	createFailoverClient, createPool, openConnection, openProber, type FailoverClient, type Connection, type Pool, type Prober,
 } from '@sapphirefall/endpoints';
 import type {GroupRuntime} from './group-runtime.ts';
 
@@ -24,7 +24,7 @@
 type InstanceLinks = {
 	readonly address: string;
 	readonly prober: Prober;
-	readonly commander: Commander;
+	readonly commander: FailoverClient;
 	/** Pools by use; absent while they are not used. */
 	readonly pools: Map<'gateway' | 'direct', UsedPool>;
 };
@@ -89,7 +89,7 @@
 				links.set(id, {
 					address,
 					prober: openProber(address, {...options, silenceLimit: options.settings.silenceLimit}),
-					commander: createCommander(address, options.settings.commandTimeout),
+					commander: createFailoverClient(address, options.settings.commandTimeout),
 					pools: new Map(),
 				});
 			}
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -1,5 +1,5 @@
 import type {GroupView} from '@sapphirefall/decisions';
-import type {Commander, Connection} from '@sapphirefall/endpoints';
+import type {FailoverClient, Connection} from '@sapphirefall/endpoints';
 import type {Scope} from './scope.ts';
 
 /** The connections, probes and waiting requests of one database group on this host. */
@@ -29,6 +29,6 @@
 		options: {readonly deadline: number; readonly isUrgent: boolean},
 	) => Promise<Found | undefined>;
 	readonly openScope: (term: number, deadline: number) => Scope;
-	readonly findCommander: (instance: string) => Commander | undefined;
+	readonly findCommander: (instance: string) => FailoverClient | undefined;
 	readonly close: () => void;
 };
