--- a/packages/endpoints/create-pool.ts
+++ b/packages/endpoints/create-connection-pool.ts
@@ -2,7 +2,7 @@
 	addItem, createFairQueue, dropItems, takeItem,
 } from '@sapphirefall/decisions';
 import type {Connection} from './connection.ts';
-import type {Pool} from './pool.ts';
+import type {ConnectionPool} from './connection-pool.ts';
 
 type Options = {
 	/** Opens a connection; the callback is to be called when it closes. */
@@ -25,7 +25,7 @@
  *
  * Requests that find no free connection wait in a fair queue between workspaces.
  */
-export function createPool(options: Options): Pool {
+export function createConnectionPool(options: Options): ConnectionPool {
 	const idle: Connection[] = [];
 	const timers = new Set<NodeJS.Timeout>();
 	let queue = createFairQueue<Waiting>();
@@ -86,7 +86,7 @@
 	}
 
 	return {
-		async take({workspace, cost, deadline, signal}) {
+		async acquire({workspace, cost, deadline, signal}) {
 			const ready = idle.pop();
 			if (ready !== undefined || isClosed || signal.aborted) {
 				return ready;
@@ -110,7 +110,7 @@
 				queue = addItem(queue, {workspace, item});
 			});
 		},
-		give(connection) {
+		release(connection) {
 			if (isClosed) {
 				connection.close();
 			} else if (!connection.isClosed()) {
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -1,6 +1,6 @@
 import type {GroupView, InstanceReport} from '@sapphirefall/decisions';
 import {
-	createFailoverClient, createPool, openConnection, openProber, type FailoverClient, type Connection, type Pool, type Prober,
+	createFailoverClient, createConnectionPool, openConnection, openProber, type FailoverClient, type Connection, type ConnectionPool, type Prober,
 } from '@sapphirefall/endpoints';
 import type {GroupRuntime} from './group-runtime.ts';
 
@@ -19,7 +19,7 @@
 };
 
 /** A pool and the monotonic milliseconds of its last use. */
-type UsedPool = {readonly pool: Pool; usedAt: number};
+type UsedPool = {readonly pool: ConnectionPool; usedAt: number};
 
 type InstanceLinks = {
 	readonly address: string;
@@ -49,7 +49,7 @@
  */
 export function createGroupRuntime(first: GroupView, options: Options): GroupRuntime {
 	const links = new Map<string, InstanceLinks>();
-	const owners = new WeakMap<Connection, Pool>();
+	const owners = new WeakMap<Connection, ConnectionPool>();
 	const waiters = new Set<Waiter>();
 	const scopes = new Map<AbortController, number>();
 	let view = first;
@@ -96,7 +96,7 @@
 		}
 	};
 
-	const findPool = (instance: string, use: 'gateway' | 'direct'): Pool | undefined => {
+	const findPool = (instance: string, use: 'gateway' | 'direct'): ConnectionPool | undefined => {
 		const link = links.get(instance);
 		if (link === undefined) {
 			return undefined;
@@ -108,7 +108,7 @@
 			return known.pool;
 		}
 
-		const pool = createPool({
+		const pool = createConnectionPool({
 			open: async onClosed => openConnection(link.address, {...options.settings, now: options.now, onClosed}),
 			size: use === 'gateway' ? options.settings.connections : options.settings.directConnections,
 			retryDelay: options.settings.reconnectDelay,
@@ -159,7 +159,7 @@
 		probe,
 		async take(instance, demand) {
 			const pool = findPool(instance, demand.isGateway ? 'gateway' : 'direct');
-			const connection = await pool?.take(demand);
+			const connection = await pool?.acquire(demand);
 			if (connection !== undefined && pool !== undefined) {
 				owners.set(connection, pool);
 			}
@@ -167,7 +167,7 @@
 			return connection;
 		},
 		give(connection) {
-			owners.get(connection)?.give(connection);
+			owners.get(connection)?.release(connection);
 		},
 		async waitFor(find, {deadline, isUrgent}) {
 			const found = find(view);
