--- a/packages/endpoints/batch-outcome.ts
+++ b/packages/endpoints/batch-outcome.ts
@@ -7,6 +7,6 @@
  * is rolled back. `lost`: no answer came, and the connection is closed.
  */
 export type BatchOutcome =
-	| {readonly kind: 'ran'; readonly results: readonly SqlResult[]; readonly at: LogPoint}
+	| {readonly kind: 'ran'; readonly results: readonly SqlResult[]; readonly point: LogPoint}
 	| {readonly kind: 'refused'; readonly fault: 'term' | 'statement' | 'busy'; readonly message: string}
 	| {readonly kind: 'lost'};
--- a/packages/endpoints/open-connection.ts
+++ b/packages/endpoints/open-connection.ts
@@ -87,6 +87,6 @@
 
 	const fault = faults[response.fault];
 	return fault === undefined
-		? {kind: 'ran', results: response.results.map(result => decodeResult(result)), at: decodePoint(response.at)}
+		? {kind: 'ran', results: response.results.map(result => decodeResult(result)), point: decodePoint(response.at)}
 		: {kind: 'refused', fault, message: response.message};
 }
--- a/packages/endpoints/open-prober.ts
+++ b/packages/endpoints/open-prober.ts
@@ -9,7 +9,7 @@
 
 type Options = {
 	/** Milliseconds without any answer after which the stream is opened anew. */
-	readonly silenceLimit: number;
+	readonly timeoutMs: number;
 	readonly now: () => number;
 	/** Called with each report and the monotonic milliseconds at which its probe was sent. */
 	readonly onReport: (report: InstanceReport, sentAt: number) => void;
@@ -91,7 +91,7 @@
 	return {
 		isUsable(now: number) {
 			const [oldest] = sentTimes.values();
-			return !isEnded && (oldest === undefined || now - oldest <= options.silenceLimit);
+			return !isEnded && (oldest === undefined || now - oldest <= options.timeoutMs);
 		},
 		send(now: number) {
 			if (sentTimes.size < pendingLimit) {
--- a/packages/proxy/_run-transaction.ts
+++ b/packages/proxy/_run-transaction.ts
@@ -48,7 +48,7 @@
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: outcome.results, at: outcome.at, isReplayed: false,
+				kind: 'committed', results: outcome.results, at: outcome.point, isReplayed: false,
 			};
 		}
 
@@ -131,7 +131,7 @@
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: work.results, at: outcome.at, isReplayed: false,
+				kind: 'committed', results: work.results, at: outcome.point, isReplayed: false,
 			};
 		}
 
@@ -172,7 +172,7 @@
 	}
 
 	return {
-		kind: 'committed', results: parseResults(results), at: outcome.at, isReplayed: true,
+		kind: 'committed', results: parseResults(results), at: outcome.point, isReplayed: true,
 	};
 }
 
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -88,7 +88,7 @@
 				closePools(known);
 				links.set(id, {
 					address,
-					prober: openProber(address, {...options, silenceLimit: options.settings.silenceLimit}),
+					prober: openProber(address, {...options, timeoutMs: options.settings.silenceLimit}),
 					commander: createFailoverClient(address, options.settings.commandTimeout),
 					pools: new Map(),
 				});
--- a/packages/proxy/execute-read.ts
+++ b/packages/proxy/execute-read.ts
@@ -104,7 +104,7 @@
 		switch (outcome.kind) {
 			case 'ran': {
 				return {
-					kind: 'read', results: outcome.results, at: outcome.at, instance, term,
+					kind: 'read', results: outcome.results, at: outcome.point, instance, term,
 				};
 			}
 
