--- a/bench/measure-failover.ts
+++ b/bench/measure-failover.ts
@@ -1,5 +1,5 @@
 import {setTimeout as sleep} from 'node:timers/promises';
-import {parseEvent, timesPerMillisecond} from '@sapphirefall/events';
+import {parseEvent, ticksPerMs} from '@sapphirefall/events';
 import {addWorkspace} from '../stand-ins/cluster/add-workspace.ts';
 import {createStatement} from '../stand-ins/cluster/create-statement.ts';
 import {startCluster} from '../stand-ins/cluster/start-cluster.ts';
@@ -163,7 +163,7 @@
 		.flatMap(host => cluster.child(host).readOutput().split('\n'))
 		.map(line => parseEvent(line))
 		.filter(event => event?.kind === 'failover-step' && event.detail === step)
-		.map(event => Number((event?.time ?? 0n) / timesPerMillisecond))
+		.map(event => Number((event?.time ?? 0n) / ticksPerMs))
 		.filter(time => time >= since);
 	return times.length === 0 ? -1 : Math.min(...times) - since;
 }
--- a/daemons/run-timeline.ts
+++ b/daemons/run-timeline.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {resultCodes} from '@sapphirefall/decisions';
 import {
-	formatEvent, formatTimeLine, mergeTimeLine, parseEvent, type EventFilter,
+	formatEvent, formatTimeline, mergeTimeline, parseEvent, type EventFilter,
 } from '@sapphirefall/events';
 import {CommandError} from './command-error.ts';
 
@@ -20,10 +20,10 @@
 		.flatMap(text => text.split('\n'))
 		.map(line => parseEvent(line))
 		.filter(event => event !== undefined);
-	const merged = mergeTimeLine(events, options);
+	const merged = mergeTimeline(events, options);
 	console.log(options.json === true
 		? merged.map(event => formatEvent(event)).join('\n')
-		: formatTimeLine(merged));
+		: formatTimeline(merged));
 }
 
 async function readSource(source: string): Promise<string> {
--- a/packages/events/create-hybrid-clock.ts
+++ b/packages/events/create-hybrid-clock.ts
@@ -1,4 +1,4 @@
-import {timesPerMillisecond} from './times-per-millisecond.ts';
+import {ticksPerMs} from './ticks-per-ms.ts';
 import type {HybridClock} from './hybrid-clock.ts';
 
 /**
@@ -10,7 +10,7 @@
 	let last = 0n;
 	return {
 		tick() {
-			const wall = BigInt(Math.trunc(wallNow())) * timesPerMillisecond;
+			const wall = BigInt(Math.trunc(wallNow())) * ticksPerMs;
 			last = wall > last ? wall : last + 1n;
 			return last;
 		},
--- a/packages/events/merge-time-line.ts
+++ b/packages/events/merge-timeline.ts
@@ -7,7 +7,7 @@
  *
  * An event that led to another in a different process comes before it.
  */
-export function mergeTimeLine(events: readonly ProcessEvent[], filter: EventFilter): readonly ProcessEvent[] {
+export function mergeTimeline(events: readonly ProcessEvent[], filter: EventFilter): readonly ProcessEvent[] {
 	return events
 		.filter(event => matchesFilter(event, filter))
 		.toSorted((a, b) => (a.time === b.time ? compareText(a.process, b.process) : Number(a.time - b.time)));
--- a/packages/events/times-per-millisecond.ts
+++ b/packages/events/ticks-per-ms.ts
@@ -1,2 +1,2 @@
 /** Hybrid logical times in one millisecond. */
-export const timesPerMillisecond = 65_536n;
+export const ticksPerMs = 65_536n;
