--- a/packages/operators/create-metrics.ts
+++ b/packages/operators/create-metrics.ts
@@ -15,7 +15,7 @@
 		requests: new Counter({
 			name: 'sapphirefall_requests_total', help: 'Requests answered, by class and result code.', labelNames: ['class', 'code'], registers,
 		}),
-		seconds: new Histogram({
+		requestSeconds: new Histogram({
 			name: 'sapphirefall_request_seconds', help: 'Seconds from arrival to answer, by class.', labelNames: ['class'], buckets: secondsBuckets, registers,
 		}),
 		reads: new Counter({
@@ -33,7 +33,7 @@
 		configurationVersion: new Gauge({
 			name: 'sapphirefall_configuration_version', help: 'Version of the configuration in force here.', registers,
 		}),
-		running: new Gauge({
+		runningRequests: new Gauge({
 			name: 'sapphirefall_requests_running', help: 'Requests that run now.', registers,
 		}),
 	};
--- a/packages/operators/metrics.ts
+++ b/packages/operators/metrics.ts
@@ -6,11 +6,11 @@
 export type Metrics = {
 	readonly registry: Registry;
 	readonly requests: Counter;
-	readonly seconds: Histogram;
+	readonly requestSeconds: Histogram;
 	readonly reads: Counter;
 	readonly retries: Counter;
 	readonly borrows: Counter;
 	readonly failovers: Counter;
 	readonly configurationVersion: Gauge;
-	readonly running: Gauge;
+	readonly runningRequests: Gauge;
 };
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -130,20 +130,20 @@
 
 	const run = async (request: AdmittedRequest): Promise<Handled> => {
 		running++;
-		metrics.running.set(running);
+		metrics.runningRequests.set(running);
 		const names = {request: request.requestId, workspace: request.workspace, database: request.database};
 		events.emit({kind: 'request-admitted', ...names, detail: describeWork(request)});
 		try {
 			const answer = await options.rates.take(request) ?? await execute(request);
 			const elapsed = now() - request.arrivedAt;
 			events.emit({kind: 'request-answered', ...names, detail: `${describeAnswer(answer)} in ${elapsed.toFixed(1)} ms`});
-			metrics.seconds.observe({class: describeWork(request)}, elapsed / 1000);
+			metrics.requestSeconds.observe({class: describeWork(request)}, elapsed / 1000);
 			metrics.requests.inc({class: describeWork(request), code: findCode(answer)});
 			countRead(request, answer);
 			return {answer, session: signSession(request, answer)};
 		} finally {
 			running--;
-			metrics.running.set(running);
+			metrics.runningRequests.set(running);
 			wakeIdle();
 		}
 	};
