--- a/packages/platform/commit-change.ts
+++ b/packages/platform/commit-change.ts
@@ -2,10 +2,10 @@
 import {
 	applyChange, resultCodes, type Change, type Configuration, type FleetConfiguration, type ResultCode,
 } from '@sapphirefall/decisions';
-import {configurationRow} from './configuration-row.ts';
+import {configurationRowName} from './configuration-row-name.ts';
 import {describeChange} from './describe-change.ts';
-import {parseRow} from './parse-row.ts';
-import {readBody} from './read-body.ts';
+import {parseConfigurationRow} from './parse-configuration-row.ts';
+import {readConfigurationBody} from './read-configuration-body.ts';
 import type {CommitOutcome} from './commit-outcome.ts';
 import type {ConfigurationHead} from './configuration-head.ts';
 import type {PlatformClient} from './platform-client.ts';
@@ -98,9 +98,9 @@
 }
 
 async function readCurrent(platform: PlatformClient): Promise<Current> {
-	const row = await platform.readRow(configurationRow);
-	const head = parseRow(row);
-	return {rowVersion: row.version, head, configuration: await readBody(platform, head.object)};
+	const row = await platform.readRow(configurationRowName);
+	const head = parseConfigurationRow(row);
+	return {rowVersion: row.version, head, configuration: await readConfigurationBody(platform, head.object)};
 }
 
 /** Refuses a change that was based on an older version, and tells what changed since. */
@@ -131,7 +131,7 @@
 	const head: ConfigurationHead = {...current.head, object, changes: [...current.head.changes, entry].slice(-changesKept)};
 	try {
 		await platform.writeObject(object, Buffer.from(JSON.stringify(configuration)));
-		const written = await platform.writeRow(configurationRow, {
+		const written = await platform.writeRow(configurationRowName, {
 			expectedVersion: current.rowVersion, value: JSON.stringify(head),
 		});
 		return written.isWritten;
--- a/packages/platform/commit-roster.ts
+++ b/packages/platform/commit-roster.ts
@@ -1,7 +1,7 @@
 import type {FleetConfiguration, Roster} from '@sapphirefall/decisions';
-import {configurationRow} from './configuration-row.ts';
-import {parseRow} from './parse-row.ts';
-import {readBody} from './read-body.ts';
+import {configurationRowName} from './configuration-row-name.ts';
+import {parseConfigurationRow} from './parse-configuration-row.ts';
+import {readConfigurationBody} from './read-configuration-body.ts';
 import type {ConfigurationHead} from './configuration-head.ts';
 import type {PlatformClient} from './platform-client.ts';
 
@@ -18,16 +18,16 @@
 	next: Omit<Roster, 'epoch'>,
 ): Promise<FleetConfiguration | undefined> {
 	const {head: expectedVersion, ...chosen} = next;
-	const row = await platform.readRow(configurationRow);
+	const row = await platform.readRow(configurationRowName);
 	if (row.version !== expectedVersion) {
 		return undefined;
 	}
 
-	const old = parseRow(row);
+	const old = parseConfigurationRow(row);
 	const roster = {...chosen, epoch: old.roster.epoch + 1};
 	const head: ConfigurationHead = {...old, roster};
-	const written = await platform.writeRow(configurationRow, {expectedVersion, value: JSON.stringify(head)});
+	const written = await platform.writeRow(configurationRowName, {expectedVersion, value: JSON.stringify(head)});
 	return written.isWritten
-		? {configuration: await readBody(platform, head.object), roster: {...roster, head: written.row.version}}
+		? {configuration: await readConfigurationBody(platform, head.object), roster: {...roster, head: written.row.version}}
 		: undefined;
 }
--- a/packages/platform/configuration-row.ts
+++ b/packages/platform/configuration-row-name.ts
@@ -1,2 +1,2 @@
 /** Name of the table row that names the configuration in force. */
-export const configurationRow = 'configuration';
+export const configurationRowName = 'configuration';
--- a/packages/platform/format-fleet.ts
+++ b/packages/platform/format-fleet-configuration.ts
@@ -1,6 +1,6 @@
 import type {FleetConfiguration} from '@sapphirefall/decisions';
 
 /** Formats configuration and roster as the text that hosts pass on. */
-export function formatFleet({configuration, roster}: FleetConfiguration): string {
+export function formatFleetConfiguration({configuration, roster}: FleetConfiguration): string {
 	return JSON.stringify({configuration: JSON.stringify(configuration), roster});
 }
--- a/packages/platform/parse-head.ts
+++ b/packages/platform/parse-configuration-head.ts
@@ -13,6 +13,6 @@
  *
  * @throws {Error} When the text is not such a row.
  */
-export function parseHead(text: string): ConfigurationHead {
+export function parseConfigurationHead(text: string): ConfigurationHead {
 	return schema.parse(JSON.parse(text));
 }
--- a/packages/platform/parse-row.ts
+++ b/packages/platform/parse-configuration-row.ts
@@ -1,4 +1,4 @@
-import {parseHead} from './parse-head.ts';
+import {parseConfigurationHead} from './parse-configuration-head.ts';
 import type {ConfigurationHead} from './configuration-head.ts';
 
 /** What the row of a new fleet would hold. */
@@ -13,6 +13,6 @@
  *
  * @throws {Error} When the row holds something else.
  */
-export function parseRow(row: {readonly version: number; readonly value: string}): ConfigurationHead {
-	return row.version === 0 ? emptyHead : parseHead(row.value);
+export function parseConfigurationRow(row: {readonly version: number; readonly value: string}): ConfigurationHead {
+	return row.version === 0 ? emptyHead : parseConfigurationHead(row.value);
 }
--- a/packages/platform/parse-fleet.ts
+++ b/packages/platform/parse-fleet-configuration.ts
@@ -13,7 +13,7 @@
  *
  * @throws {Error} When the text is not of {@link formatFleet}.
  */
-export function parseFleet(text: string): FleetConfiguration {
+export function parseFleetConfiguration(text: string): FleetConfiguration {
 	const {configuration, roster} = schema.parse(JSON.parse(text));
 	return {configuration: parseConfiguration(configuration), roster};
 }
--- a/packages/platform/read-body.ts
+++ b/packages/platform/read-configuration-body.ts
@@ -8,7 +8,7 @@
  *
  * @throws {Error} When the platform does not answer.
  */
-export async function readBody(platform: PlatformClient, object: string): Promise<Configuration> {
+export async function readConfigurationBody(platform: PlatformClient, object: string): Promise<Configuration> {
 	if (object === '') {
 		return createConfiguration();
 	}
--- a/packages/platform/read-configuration.ts
+++ b/packages/platform/read-configuration.ts
@@ -1,7 +1,7 @@
 import type {FleetConfiguration} from '@sapphirefall/decisions';
-import {configurationRow} from './configuration-row.ts';
-import {readBody} from './read-body.ts';
-import {parseRow} from './parse-row.ts';
+import {configurationRowName} from './configuration-row-name.ts';
+import {readConfigurationBody} from './read-configuration-body.ts';
+import {parseConfigurationRow} from './parse-configuration-row.ts';
 import type {PlatformClient} from './platform-client.ts';
 
 /**
@@ -15,14 +15,14 @@
 	platform: PlatformClient,
 	known: FleetConfiguration,
 ): Promise<FleetConfiguration> {
-	const row = await platform.readRow(configurationRow);
+	const row = await platform.readRow(configurationRowName);
 	if (row.version === known.roster.head) {
 		return known;
 	}
 
-	const {object, roster} = parseRow(row);
+	const {object, roster} = parseConfigurationRow(row);
 	return {
-		configuration: await readBody(platform, object),
+		configuration: await readConfigurationBody(platform, object),
 		roster: {...roster, head: row.version},
 	};
 }
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -3,7 +3,7 @@
 } from '@sapphirefall/decisions';
 import type {HybridClock} from '@sapphirefall/events';
 import type {ExchangeContent} from '@sapphirefall/hosts';
-import {formatFleet, parseFleet} from '@sapphirefall/platform';
+import {formatFleetConfiguration, parseFleetConfiguration} from '@sapphirefall/platform';
 import type {FindPeer} from './find-peer.ts';
 
 type Options = {
@@ -57,7 +57,7 @@
 			version: state.configuration.version,
 			head: state.roster.head,
 			age: at - state.provenAt,
-			fleet: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
+			fleet: other !== undefined && other.head < state.roster.head ? formatFleetConfiguration(state) : '',
 			statements: listStatements(state, {span: options.wordSpan, now: at}).map(({id, at: given}) => ({id, age: at - given})),
 			digest,
 			primaries: other !== undefined && other.digest !== digest ? primaries : [],
@@ -75,7 +75,7 @@
 			incarnation: content.incarnation,
 			version: content.version,
 			head: content.head,
-			fleet: content.fleet === '' ? undefined : parseFleet(content.fleet),
+			fleet: content.fleet === '' ? undefined : parseFleetConfiguration(content.fleet),
 			statements: content.statements.map(({id, age}) => ({id, at: base - age})),
 			provenAt: base - content.age,
 			primaries: content.primaries,
