--- a/daemons/run-load-plan.ts
+++ b/daemons/run-load-plan.ts
@@ -26,7 +26,7 @@
 	console.log(options.json === true ? JSON.stringify(summary) : formatSummary(summary));
 	if (options.report !== undefined) {
 		writeFileSync(options.report, await createReport({
-			title: file, history, summary, lanes: [],
+			title: file, history, summary, faults: [],
 		}));
 	}
 
--- a/packages/load/check-history.ts
+++ b/packages/load/check-history.ts
@@ -1,6 +1,6 @@
 import type {LoadHistory} from './load-history.ts';
 import type {LoadPlan} from './load-plan.ts';
-import type {Outcome} from './outcome.ts';
+import type {RequestOutcome} from './request-outcome.ts';
 import type {Violation} from './violation.ts';
 
 /**
@@ -11,7 +11,7 @@
  */
 export function checkHistory(plan: LoadPlan, history: LoadHistory): readonly Violation[] {
 	const writes = history.outcomes.filter(({request}) => request.class === 'write');
-	const reads = history.outcomes.filter(outcome => outcome.seen !== undefined);
+	const reads = history.outcomes.filter(outcome => outcome.observed !== undefined);
 	return [
 		...writes.flatMap(outcome => checkWrite(outcome, history.rows.get(outcome.request.id) ?? 0)),
 		...plan.workspaces.flatMap(workspace => checkReads(
@@ -27,7 +27,7 @@
 	];
 }
 
-function checkWrite({request, kind}: Outcome, rows: number): readonly Violation[] {
+function checkWrite({request, kind}: RequestOutcome, rows: number): readonly Violation[] {
 	if (rows > 1) {
 		return [{kind: 'doubled', request: request.id, detail: `${rows} rows`}];
 	}
@@ -42,11 +42,11 @@
 }
 
 function checkReads(
-	reads: readonly Outcome[],
+	reads: readonly RequestOutcome[],
 	options: {readonly acknowledged: readonly number[]; readonly age: number},
 ): readonly Violation[] {
 	return reads.flatMap(({
-		request, sentAt, seen, knownWrite,
+		request, sentAt, observed: seen, lastAcknowledgedWrite: knownWrite,
 	}): readonly Violation[] => {
 		if (seen === undefined) {
 			return [];
@@ -57,7 +57,7 @@
 		}
 
 		if (request.class === 'session') {
-			return seen.write < knownWrite
+			return seen.lastWrite < knownWrite
 				? [{kind: 'unreadWrite', request: request.id, detail: `write ${knownWrite} of the session is missing`}]
 				: [];
 		}
--- a/packages/load/create-report.ts
+++ b/packages/load/create-report.ts
@@ -1,7 +1,7 @@
 import {parse, View} from 'vega';
 import {compile, type TopLevelSpec} from 'vega-lite';
 import {formatSummary} from './format-summary.ts';
-import type {FaultLane} from './fault-lane.ts';
+import type {FaultInterval} from './fault-interval.ts';
 import type {LoadHistory} from './load-history.ts';
 import type {LoadSummary} from './load-summary.ts';
 
@@ -9,7 +9,7 @@
 	readonly title: string;
 	readonly history: LoadHistory;
 	readonly summary: LoadSummary;
-	readonly lanes: readonly FaultLane[];
+	readonly faults: readonly FaultInterval[];
 };
 
 const millisecondsPerSecond = 1000;
@@ -49,7 +49,7 @@
 function createLatencyPlot({history}: Options): TopLevelSpec {
 	const values = history.outcomes
 		.filter(({kind}) => kind === 'done')
-		.map(({request, answeredAt}) => ({second: request.at / millisecondsPerSecond, latency: Math.max(0.1, answeredAt - request.at), class: request.class}));
+		.map(({request, answeredAt}) => ({second: request.scheduledAt / millisecondsPerSecond, latency: Math.max(0.1, answeredAt - request.scheduledAt), class: request.class}));
 	return {
 		...size,
 		title: 'Latency by class',
@@ -66,7 +66,7 @@
 }
 
 function createAnswerPlot({history}: Options): TopLevelSpec {
-	const values = history.outcomes.map(({request, kind}) => ({second: request.at / millisecondsPerSecond, answer: kind}));
+	const values = history.outcomes.map(({request, kind}) => ({second: request.scheduledAt / millisecondsPerSecond, answer: kind}));
 	return {
 		...size,
 		title: 'Answers a second',
@@ -82,7 +82,7 @@
 	};
 }
 
-function createLanePlot({lanes}: Options): TopLevelSpec {
+function createLanePlot({faults: lanes}: Options): TopLevelSpec {
 	const values = lanes.map(({title, from, to}) => ({title, from: from / millisecondsPerSecond, to: to / millisecondsPerSecond}));
 	return {
 		...size,
--- a/packages/load/create-schedule.ts
+++ b/packages/load/create-schedule.ts
@@ -17,7 +17,7 @@
 	const random = () => uniformFloat64(generator);
 	return plan.workspaces
 		.flatMap(workspace => createArrivals(plan, {workspace, random}))
-		.toSorted((a, b) => a.at - b.at)
+		.toSorted((a, b) => a.scheduledAt - b.scheduledAt)
 		.map((request, index) => ({...request, id: `${plan.seed}-${index}`}));
 }
 
@@ -30,11 +30,11 @@
 	const step = () => -Math.log(1 - random()) * millisecondsPerSecond / workspace.offered;
 	for (let at = step(); at < plan.duration; at += step()) {
 		arrivals.push({
-			at,
+			scheduledAt: at,
 			workspace: workspace.name,
 			session: Math.floor(random() * workspace.sessions),
 			class: chooseClass(workspace, random()),
-			target: Math.floor(random() * plan.targets.length),
+			targetIndex: Math.floor(random() * plan.targets.length),
 		});
 	}
 
--- a/packages/load/find-wrongful-refusals.ts
+++ b/packages/load/find-wrongful-refusals.ts
@@ -1,6 +1,6 @@
 import {resultCodes} from '@sapphirefall/decisions';
 import type {LoadPlan} from './load-plan.ts';
-import type {Outcome} from './outcome.ts';
+import type {RequestOutcome} from './request-outcome.ts';
 
 const millisecondsPerSecond = 1000;
 
@@ -10,7 +10,7 @@
  * One bucket for the whole fleet, full at the start, takes the requests in the order of their arrival; what it
  * would have admitted may not be refused.
  */
-export function findWrongfulRefusals(plan: LoadPlan, outcomes: readonly Outcome[]): readonly Outcome[] {
+export function findWrongfulRefusals(plan: LoadPlan, outcomes: readonly RequestOutcome[]): readonly RequestOutcome[] {
 	return plan.workspaces.flatMap(({name, rate, burst}) => {
 		let units = burst;
 		let refilledAt = 0;
--- a/packages/load/mod.ts
+++ b/packages/load/mod.ts
@@ -2,7 +2,7 @@
 export * from './check-history.ts';
 export * from './create-report.ts';
 export * from './create-schedule.ts';
-export type * from './fault-lane.ts';
+export type * from './fault-interval.ts';
 export * from './find-wrongful-refusals.ts';
 export * from './format-summary.ts';
 export type * from './load-class.ts';
@@ -11,7 +11,7 @@
 export * from './load-plan-schema.ts';
 export type * from './load-plan.ts';
 export type * from './load-summary.ts';
-export type * from './outcome.ts';
+export type * from './request-outcome.ts';
 export * from './run-load.ts';
 export type * from './scheduled-request.ts';
 export * from './summarize-load.ts';
--- a/packages/load/outcome.ts
+++ b/packages/load/request-outcome.ts
@@ -1,7 +1,7 @@
 import type {ScheduledRequest} from './scheduled-request.ts';
 
 /** What came back of one request. Times are milliseconds from the start of the load. */
-export type Outcome = {
+export type RequestOutcome = {
 	readonly request: ScheduledRequest;
 	readonly sentAt: number;
 	readonly answeredAt: number;
@@ -10,9 +10,9 @@
 	readonly code: number;
 	readonly instance: string;
 	/** Highest number of the session's writes that the session had seen acknowledged when it sent a read. */
-	readonly knownWrite: number;
+	readonly lastAcknowledgedWrite: number;
 	/** Number that a write gave itself within its session; 0 for reads. */
-	readonly write: number;
+	readonly writeNumber: number;
 	/** For reads: the request's own id as it came back, the session's highest write, and the workspace's rows. */
-	readonly seen: {readonly id: string; readonly write: number; readonly rows: number} | undefined;
+	readonly observed: {readonly id: string; readonly lastWrite: number; readonly rows: number} | undefined;
 };
--- a/packages/load/run-load.ts
+++ b/packages/load/run-load.ts
@@ -8,7 +8,7 @@
 import {createSchedule} from './create-schedule.ts';
 import type {LoadHistory} from './load-history.ts';
 import type {LoadPlan} from './load-plan.ts';
-import type {Outcome} from './outcome.ts';
+import type {RequestOutcome} from './request-outcome.ts';
 import type {ScheduledRequest} from './scheduled-request.ts';
 
 type Options = {
@@ -50,12 +50,12 @@
 
 	const startedAt = options.now();
 	const elapsed = () => options.now() - startedAt;
-	const outcomes: Outcome[] = [];
+	const outcomes: RequestOutcome[] = [];
 	const running: Array<Promise<void>> = [];
 	let reportedAt = 0;
 
 	const run = async (request: ScheduledRequest) => {
-		const client = clients.get(request.workspace)?.[request.target];
+		const client = clients.get(request.workspace)?.[request.targetIndex];
 		const name = `${request.workspace}/${request.session}`;
 		const session = sessions.get(name) ?? {token: '', sentWrites: 0, knownWrite: 0};
 		sessions.set(name, session);
@@ -67,7 +67,7 @@
 	};
 
 	for (const request of createSchedule(plan)) {
-		const pause = request.at - elapsed();
+		const pause = request.scheduledAt - elapsed();
 		if (pause > 0) {
 			await sleep(pause); // eslint-disable-line no-await-in-loop -- the schedule sets the times
 		}
@@ -95,7 +95,7 @@
 async function sendRequest(
 	plan: LoadPlan,
 	options: {readonly request: ScheduledRequest; readonly session: Session; readonly client: Caller; readonly elapsed: () => number},
-): Promise<Outcome> {
+): Promise<RequestOutcome> {
 	const {request, session, client, elapsed} = options;
 	const isWrite = request.class === 'write';
 	const sentAt = elapsed();
@@ -121,7 +121,7 @@
 		return {...base, answeredAt: elapsed(), ...decodeOutcome(response, request)};
 	} catch {
 		return {
-			...base, answeredAt: elapsed(), kind: 'failed', code: -1, instance: '', seen: undefined,
+			...base, answeredAt: elapsed(), kind: 'failed', code: -1, instance: '', observed: undefined,
 		};
 	}
 }
@@ -166,10 +166,10 @@
 function decodeOutcome(
 	{answer}: ExecuteResponse,
 	request: ScheduledRequest,
-): Pick<Outcome, 'kind' | 'code' | 'instance' | 'seen'> {
+): Pick<RequestOutcome, 'kind' | 'code' | 'instance' | 'seen'> {
 	if (answer.case !== 'done') {
 		return {
-			kind: answer.case ?? 'failed', code: answer.value?.code ?? -1, instance: '', seen: undefined,
+			kind: answer.case ?? 'failed', code: answer.value?.code ?? -1, instance: '', observed: undefined,
 		};
 	}
 
@@ -179,7 +179,7 @@
 		kind: 'done',
 		code: answer.value.code,
 		instance: answer.value.instance,
-		seen: request.class === 'write' ? undefined : {id: String(id), write: Number(write), rows: Number(rows)},
+		observed: request.class === 'write' ? undefined : {id: String(id), write: Number(write), rows: Number(rows)},
 	};
 }
 
--- a/packages/load/scheduled-request.ts
+++ b/packages/load/scheduled-request.ts
@@ -4,11 +4,11 @@
 export type ScheduledRequest = {
 	readonly id: string;
 	/** Milliseconds from the start of the load. */
-	readonly at: number;
+	readonly scheduledAt: number;
 	readonly workspace: string;
 	/** Number of the session within the workspace. */
 	readonly session: number;
 	readonly class: LoadClass;
 	/** Place of the host in the plan's targets. */
-	readonly target: number;
+	readonly targetIndex: number;
 };
--- a/packages/load/summarize-load.ts
+++ b/packages/load/summarize-load.ts
@@ -5,7 +5,7 @@
 import type {LoadHistory} from './load-history.ts';
 import type {LoadPlan} from './load-plan.ts';
 import type {LoadSummary} from './load-summary.ts';
-import type {Outcome} from './outcome.ts';
+import type {RequestOutcome} from './request-outcome.ts';
 
 /** Histograms count in tenths of a millisecond. */
 const unitsPerMillisecond = 10;
@@ -40,7 +40,7 @@
 	};
 }
 
-function findReplicaShare(plan: LoadPlan, outcomes: readonly Outcome[]): number {
+function findReplicaShare(plan: LoadPlan, outcomes: readonly RequestOutcome[]): number {
 	const primaries = new Map<string, string>();
 	const databases = new Map(plan.workspaces.map(({name, database}) => [name, database]));
 	let reads = 0;
@@ -59,7 +59,7 @@
 }
 
 /** Finds the longest time for which a write waited and none was acknowledged, over all databases. */
-function findWriteGap(plan: LoadPlan, outcomes: readonly Outcome[]): number {
+function findWriteGap(plan: LoadPlan, outcomes: readonly RequestOutcome[]): number {
 	const databases = new Set(plan.workspaces.map(({database}) => database));
 	const gaps = [...databases].map(database => {
 		const names = new Set(plan.workspaces.filter(workspace => workspace.database === database).map(({name}) => name));
@@ -68,18 +68,18 @@
 	return Math.max(0, ...gaps);
 }
 
-function findLongestWait(writes: readonly Outcome[]): number {
+function findLongestWait(writes: readonly RequestOutcome[]): number {
 	const acknowledged = writes.filter(({kind}) => kind === 'done').map(({answeredAt}) => answeredAt).toSorted((a, b) => a - b);
 	const waits = acknowledged.map((time, index) => {
 		const last = acknowledged[index - 1] ?? 0;
-		const arrivals = writes.filter(({answeredAt}) => answeredAt > last).map(({request}) => request.at);
+		const arrivals = writes.filter(({answeredAt}) => answeredAt > last).map(({request}) => request.scheduledAt);
 		return time - Math.max(last, Math.min(...arrivals));
 	});
 	return Math.max(0, ...waits);
 }
 
 /** Finds the share done of what each workspace offered, or of its rate where it offered more. */
-function findShares(plan: LoadPlan, outcomes: readonly Outcome[]) {
+function findShares(plan: LoadPlan, outcomes: readonly RequestOutcome[]) {
 	return plan.workspaces.map(({name, rate, burst}) => {
 		const own = outcomes.filter(({request}) => request.workspace === name);
 		const offered = sumCost(plan, own);
@@ -89,7 +89,7 @@
 	});
 }
 
-function sumCost(plan: LoadPlan, outcomes: readonly Outcome[]): number {
+function sumCost(plan: LoadPlan, outcomes: readonly RequestOutcome[]): number {
 	let sum = 0;
 	for (const {request} of outcomes) {
 		sum += plan.costs[request.class];
@@ -98,11 +98,11 @@
 	return sum;
 }
 
-function summarizeLatency(name: LoadClass, outcomes: readonly Outcome[]) {
+function summarizeLatency(name: LoadClass, outcomes: readonly RequestOutcome[]) {
 	const histogram = build();
 	for (const {request, kind, answeredAt} of outcomes) {
 		if (request.class === name && kind === 'done') {
-			histogram.recordValue(Math.max(0, Math.round((answeredAt - request.at) * unitsPerMillisecond)));
+			histogram.recordValue(Math.max(0, Math.round((answeredAt - request.scheduledAt) * unitsPerMillisecond)));
 		}
 	}
 
@@ -113,7 +113,7 @@
 	};
 }
 
-function countCodes(outcomes: readonly Outcome[]): Readonly<Record<string, number>> {
+function countCodes(outcomes: readonly RequestOutcome[]): Readonly<Record<string, number>> {
 	const codes: Record<string, number> = {};
 	for (const {code} of outcomes) {
 		codes[code] = (codes[code] ?? 0) + 1;
