--- a/daemons/describe-parts.ts
+++ b/daemons/describe-configuration-entries.ts
@@ -6,7 +6,7 @@
 };
 
 /** Describes each part of a configuration by its name, so that two configurations can be compared; digests are left out. */
-export function describeParts(parts: Parts): Readonly<Record<string, string>> {
+export function describeConfigurationEntries(parts: Parts): Readonly<Record<string, string>> {
 	const {
 		workspaces = {}, keys = {}, freshness = {}, exceptions = [], routes = {},
 	} = parts;
--- a/daemons/read-known-configuration.ts
+++ b/daemons/read-known-configuration.ts
@@ -2,13 +2,13 @@
 import {connectOperator} from './connect-operator.ts';
 import type {OperatorOptions} from './operator-options.ts';
 
-type Known = Pick<ReturnType<typeof parseConfiguration>, 'version' | 'workspaces' | 'freshness' | 'exceptions' | 'routes' | 'costs'> & {
+type KnownConfiguration = Pick<ReturnType<typeof parseConfiguration>, 'version' | 'workspaces' | 'freshness' | 'exceptions' | 'routes' | 'costs'> & {
 	/** Workspace of each key. */
 	readonly keys: Readonly<Record<string, string>>;
 };
 
 /** Reads the configuration that a host knows, without digests. */
-export async function readKnownConfiguration(options: OperatorOptions): Promise<Known> {
+export async function readKnownConfiguration(options: OperatorOptions): Promise<KnownConfiguration> {
 	const {configuration} = await connectOperator(options, async client => client.status({}));
-	return JSON.parse(configuration) as Known;
+	return JSON.parse(configuration) as KnownConfiguration;
 }
--- a/daemons/run-apply.ts
+++ b/daemons/run-apply.ts
@@ -5,7 +5,7 @@
 import {declarationSchema} from '@sapphirefall/settings';
 import {DeclareSchema, type Declare} from '@sapphirefall/wire';
 import {createDeclaration} from './create-declaration.ts';
-import {describeParts} from './describe-parts.ts';
+import {describeConfigurationEntries} from './describe-configuration-entries.ts';
 import {readCheckedFile} from './read-checked-file.ts';
 import {readKnownConfiguration} from './read-known-configuration.ts';
 import {sendChange} from './send-change.ts';
@@ -27,8 +27,8 @@
 	const declared = createDeclaration(readCheckedFile(file, declarationSchema));
 	const known = await readKnownConfiguration(options);
 	const differences = listDifferences(
-		describeParts(selectSections(known, declared)),
-		describeParts({...declared, keys: listWorkspaces(declared.keys ?? {})}),
+		describeConfigurationEntries(selectSections(known, declared)),
+		describeConfigurationEntries({...declared, keys: listWorkspaces(declared.keys ?? {})}),
 	);
 	printDifferences(differences, options.json === true);
 	if (options.dryRun !== true && differences.length > 0) {
@@ -42,7 +42,7 @@
 		workspaces, keys, freshness, exceptions, routes,
 	}: Awaited<ReturnType<typeof readKnownConfiguration>>,
 	declared: Declaration,
-): Parameters<typeof describeParts>[0] {
+): Parameters<typeof describeConfigurationEntries>[0] {
 	return {
 		...(declared.workspaces && {workspaces}),
 		...(declared.keys && {keys}),
