--- a/packages/endpoints/batch-outcome.ts
+++ b/packages/endpoints/batch-outcome.ts
@@ -1,10 +1,11 @@
 import type {LogPoint, SqlResult} from '@sapphirefall/decisions';
 
 /**
- * What became of a batch.
+ * Outcome of a batch.
  *
- * `ran`: the whole result and the log end that it saw or wrote. `refused`: it did not run, and its transaction
- * is rolled back. `lost`: no answer came, and the connection is closed.
+ * - `ran`: the results, and the log position that the batch read at or committed at.
+ * - `refused`: the instance did not run the batch and rolled its transaction back.
+ * - `lost`: no answer arrived, and the connection is closed. The batch may have run.
  */
 export type BatchOutcome =
 	| {readonly kind: 'ran'; readonly results: readonly SqlResult[]; readonly point: LogPoint}
--- a/packages/endpoints/connection-pool.ts
+++ b/packages/endpoints/connection-pool.ts
@@ -1,22 +1,24 @@
 import type {Connection} from './connection.ts';
 
-/** Connections to one instance, shared fairly between workspaces. */
+/** A pool of connections to one instance, shared fairly between workspaces. */
 export type ConnectionPool = {
 	/**
-	 * Takes a connection for one transaction.
+	 * Acquires a connection for one transaction.
 	 *
-	 * Resolves to undefined when none came free before the deadline or the signal was aborted.
+	 * Resolves to `undefined` when no connection becomes free before the deadline, or when the signal is aborted.
 	 */
-	readonly acquire: (demand: {
+	readonly acquire: (request: {
 		readonly workspace: string;
 		readonly cost: number;
 		/** Monotonic milliseconds. */
 		readonly deadline: number;
 		readonly signal: AbortSignal;
 	}) => Promise<Connection | undefined>;
-	/** Gives a connection back; one that is closed is replaced. */
+	/** Returns a connection to the pool. The pool replaces a closed one. */
 	readonly release: (connection: Connection) => void;
 	readonly close: () => void;
+	/** Returns the number of open connections, idle or in use. */
 	readonly countOpen: () => number;
+	/** Returns the number of requests that wait for a connection. */
 	readonly countWaiting: () => number;
 };
--- a/packages/endpoints/create-connection-pool.ts
+++ b/packages/endpoints/create-connection-pool.ts
@@ -5,17 +5,20 @@
 import type {ConnectionPool} from './connection-pool.ts';
 
 type Options = {
-	/** Opens a connection; the callback is to be called when it closes. */
+	/** Opens a connection. Must call `onClosed` when the connection closes, also when opening it fails. */
 	readonly open: (onClosed: () => void) => Promise<Connection>;
-	/** Connections to keep open. */
+	/** Number of connections to keep open. */
 	readonly size: number;
-	/** Milliseconds until the next attempt after a connection could not be opened. */
+	/** Milliseconds to wait before a closed connection is replaced or a failed attempt is repeated. */
 	readonly retryDelay: number;
+	/** Returns the present time in monotonic milliseconds. */
 	readonly now: () => number;
 };
 
-type Waiting = {
+/** A request that waits for a connection. */
+type Waiter = {
 	readonly cost: number;
+	/** Monotonic milliseconds. */
 	readonly deadline: number;
 	readonly resolve: (connection: Connection | undefined) => void;
 };
@@ -23,16 +26,16 @@
 /**
  * Creates a pool that keeps a fixed number of connections open, so that no request waits for one to open.
  *
- * Requests that find no free connection wait in a fair queue between workspaces.
+ * Requests that find no idle connection wait in a queue that is fair between workspaces.
  */
 export function createConnectionPool(options: Options): ConnectionPool {
 	const idle: Connection[] = [];
 	const timers = new Set<NodeJS.Timeout>();
-	let queue = createFairQueue<Waiting>();
-	let open = 0;
+	let queue = createFairQueue<Waiter>();
+	let openCount = 0;
 	let isClosed = false;
 
-	const wait = (milliseconds: number, task: () => void) => {
+	const schedule = (milliseconds: number, task: () => void) => {
 		const timer = setTimeout(() => {
 			timers.delete(timer);
 			task();
@@ -40,69 +43,69 @@
 		timers.add(timer);
 	};
 
-	const offer = (connection: Connection) => {
+	const assignConnection = (connection: Connection) => {
 		const now = options.now();
 		queue = dropItems(queue, item => item.deadline <= now);
-		const taken = takeItem(queue, item => item.cost);
-		queue = taken.queue;
-		if (taken.item === undefined) {
+		const next = takeItem(queue, item => item.cost);
+		queue = next.queue;
+		if (next.item === undefined) {
 			idle.push(connection);
 		} else {
-			taken.item.resolve(connection);
+			next.item.resolve(connection);
 		}
 	};
 
-	const openOne = async (): Promise<void> => {
+	const openNext = async (): Promise<void> => {
 		if (isClosed) {
 			return;
 		}
 
 		try {
 			const connection = await options.open(() => {
-				open--;
-				const place = idle.findIndex(candidate => candidate.isClosed());
-				if (place !== -1) {
-					idle.splice(place, 1);
+				openCount--;
+				const index = idle.findIndex(candidate => candidate.isClosed());
+				if (index !== -1) {
+					idle.splice(index, 1);
 				}
 
-				wait(options.retryDelay, () => {
-					void openOne();
+				schedule(options.retryDelay, () => {
+					void openNext();
 				});
 			});
-			open++;
+			openCount++;
 			if (isClosed) {
 				connection.close();
 			} else {
-				offer(connection);
+				assignConnection(connection);
 			}
 		} catch {
-			// The callback has scheduled the next attempt; it counted a connection that never was.
-			open++;
+			// `onClosed` has scheduled the next attempt and decremented the count for a connection that never opened.
+			openCount++;
 		}
 	};
 
 	for (let count = 0; count < options.size; count++) {
-		void openOne();
+		void openNext();
 	}
 
 	return {
 		async acquire({workspace, cost, deadline, signal}) {
-			const ready = idle.pop();
-			if (ready !== undefined || isClosed || signal.aborted) {
-				return ready;
+			const connection = idle.pop();
+			if (connection !== undefined || isClosed || signal.aborted) {
+				return connection;
 			}
 
 			return new Promise(resolve => {
-				const end = (connection: Connection | undefined) => {
+				const finish = (acquired: Connection | undefined) => {
 					clearTimeout(timer);
 					signal.removeEventListener('abort', cancel);
-					resolve(connection);
+					resolve(acquired);
 				};
 
-				const item: Waiting = {cost, deadline, resolve: end};
+				const item: Waiter = {cost, deadline, resolve: finish};
 				const cancel = () => {
 					queue = dropItems(queue, candidate => candidate === item);
-					end(undefined);
+					finish(undefined);
 				};
 
 				const timer = setTimeout(cancel, Math.max(0, deadline - options.now()));
@@ -114,7 +117,7 @@
 			if (isClosed) {
 				connection.close();
 			} else if (!connection.isClosed()) {
-				offer(connection);
+				assignConnection(connection);
 			}
 		},
 		close() {
@@ -127,7 +130,7 @@
 				connection.close();
 			}
 		},
-		countOpen: () => open,
+		countOpen: () => openCount,
 		countWaiting: () => [...queue.waiting.values()].reduce((sum, items) => sum + items.length, 0),
 	};
 }
--- a/packages/endpoints/failover-client.ts
+++ b/packages/endpoints/failover-client.ts
@@ -1,11 +1,11 @@
 import type {InstanceReport} from '@sapphirefall/decisions';
 
-/** What an instance answered to a command of failover. */
-type CommandAnswer = {readonly isGranted: boolean; readonly report: InstanceReport};
+/** Answer of an instance to a failover command. */
+type FailoverAnswer = {readonly isGranted: boolean; readonly report: InstanceReport};
 
-/** Gives an instance the commands of failover. A command without an answer rejects. */
+/** Sends failover commands to one instance. A command rejects when no answer arrives. */
 export type FailoverClient = {
-	readonly fence: (term: number, owner: string) => Promise<CommandAnswer>;
-	readonly promote: (term: number, owner: string) => Promise<CommandAnswer>;
-	readonly follow: (term: number, primary: {readonly id: string; readonly address: string}) => Promise<CommandAnswer>;
+	readonly fence: (term: number, owner: string) => Promise<FailoverAnswer>;
+	readonly promote: (term: number, owner: string) => Promise<FailoverAnswer>;
+	readonly follow: (term: number, primary: {readonly id: string; readonly address: string}) => Promise<FailoverAnswer>;
 };
--- a/packages/endpoints/open-connection.ts
+++ b/packages/endpoints/open-connection.ts
@@ -12,15 +12,15 @@
 type Options = {
 	/** Milliseconds between two heartbeats. */
 	readonly heartbeatInterval: number;
-	/** Milliseconds without any answer after which the connection counts as silent and is closed. */
+	/** Milliseconds without any answer after which the connection is closed. */
 	readonly silenceLimit: number;
-	/** Present monotonic milliseconds. */
+	/** Returns the present time in monotonic milliseconds. */
 	readonly now: () => number;
 	/** Called once when the connection is closed, by either side. */
 	readonly onClosed: () => void;
 };
 
-const faults: Readonly<Record<EndpointFault, 'term' | 'statement' | 'busy' | undefined>> = {
+const faultNames: Readonly<Record<EndpointFault, 'term' | 'statement' | 'busy' | undefined>> = {
 	[EndpointFault.UNSPECIFIED]: undefined,
 	[EndpointFault.TERM]: 'term',
 	[EndpointFault.STATEMENT]: 'statement',
@@ -31,8 +31,8 @@
  * Opens a connection to an instance and waits until the instance answers on it.
  *
  * @param address URL of the instance.
- * @param options Heartbeat times, the clock, and what to do at the end.
- * @throws {Error} When the instance does not answer.
+ * @param options Heartbeat interval and timeout, the clock, and the callback for the close of the connection.
+ * @throws {Error} When the instance does not answer the first ping.
  */
 export async function openConnection(address: string, options: Options): Promise<Connection> {
 	const sessions = new Http2SessionManager(address);
@@ -49,14 +49,14 @@
 			options.onClosed();
 		},
 	});
-	const hello = await channel.send(createPing, {closesOnAbort: true});
-	if (hello === undefined) {
-		throw new Error(`The instance at ${address} does not answer`);
+	const firstAnswer = await channel.send(createPing, {closesOnAbort: true});
+	if (firstAnswer === undefined) {
+		throw new Error(`The instance at ${address} does not answer the first ping`);
 	}
 
 	return {
 		async run(batch, signal) {
-			// A connection whose answer is in doubt must not serve another transaction.
+			// The state of the transaction is unknown when its answer was abandoned, so the connection must not be reused.
 			return decodeOutcome(await channel.send(id => encodeBatch(batch, id), {signal, closesOnAbort: true}));
 		},
 		close: channel.close,
@@ -85,7 +85,7 @@
 		return {kind: 'lost'};
 	}
 
-	const fault = faults[response.fault];
+	const fault = faultNames[response.fault];
 	return fault === undefined
 		? {kind: 'ran', results: response.results.map(result => decodeResult(result)), point: decodePoint(response.at)}
 		: {kind: 'refused', fault, message: response.message};
--- a/packages/endpoints/open-prober.ts
+++ b/packages/endpoints/open-prober.ts
@@ -8,23 +8,24 @@
 import type {Prober} from './prober.ts';
 
 type Options = {
-	/** Milliseconds without any answer after which the stream is opened anew. */
+	/** Milliseconds that a probe may stay unanswered before the stream is replaced. */
 	readonly timeoutMs: number;
+	/** Returns the present time in monotonic milliseconds. */
 	readonly now: () => number;
-	/** Called with each report and the monotonic milliseconds at which its probe was sent. */
+	/** Called with each report and the time at which its probe was sent, in monotonic milliseconds. */
 	readonly onReport: (report: InstanceReport, sentAt: number) => void;
 };
 
-/** Probes that may await their answers at a time; more are not sent. */
-const pendingLimit = 64;
+/** Maximum number of unanswered probes on a stream. Further probes are skipped. */
+const maxPendingProbes = 64;
 
 /**
- * Opens a probe stream to an instance and keeps it open.
+ * Opens a prober of an instance.
  *
- * A broken or silent stream is replaced at the next probe.
+ * The first probe opens the stream. The next probe replaces a stream that failed or timed out.
  *
  * @param address URL of the instance.
- * @param options When a stream counts as silent, the clock, and what to do with a report.
+ * @param options Timeout of a probe, the clock, and the callback for reports.
  */
 export function openProber(address: string, options: Options): Prober {
 	let stream: ReturnType<typeof openStream> | undefined;
@@ -59,16 +60,16 @@
 	const sentTimes = new Map<number, number>();
 	const abort = new AbortController();
 	let lastId = 0;
-	let isEnded = false;
+	let isStreamClosed = false;
 
 	const close = () => {
-		isEnded = true;
+		isStreamClosed = true;
 		requests.end();
 		abort.abort();
 		sessions.abort();
 	};
 
-	const receive = async () => {
+	const receiveReports = async () => {
 		try {
 			for await (const message of client.probe(requests, {signal: abort.signal})) {
 				const sentAt = sentTimes.get(message.id);
@@ -87,14 +88,14 @@
 		}
 	};
 
-	void receive();
+	void receiveReports();
 	return {
 		isUsable(now: number) {
 			const [oldest] = sentTimes.values();
-			return !isEnded && (oldest === undefined || now - oldest <= options.timeoutMs);
+			return !isStreamClosed && (oldest === undefined || now - oldest <= options.timeoutMs);
 		},
 		send(now: number) {
-			if (sentTimes.size < pendingLimit) {
+			if (sentTimes.size < maxPendingProbes) {
 				lastId++;
 				sentTimes.set(lastId, now);
 				requests.push(create(ProbeRequestSchema, {id: lastId}));
--- a/packages/endpoints/prober.ts
+++ b/packages/endpoints/prober.ts
@@ -1,6 +1,6 @@
-/** Sends probes to one instance over one stream. */
+/** Sends probes to one instance over a stream. */
 export type Prober = {
-	/** Sends a probe; its answer goes to the callback that the prober was opened with. */
+	/** Sends a probe. The report is passed to `onReport`, an option of `openProber`. */
 	readonly probe: () => void;
 	readonly close: () => void;
 };
--- a/packages/events/create-event-log.ts
+++ b/packages/events/create-event-log.ts
@@ -3,14 +3,14 @@
 import type {HybridClock} from './hybrid-clock.ts';
 import type {ProcessEvent} from './process-event.ts';
 
-/** Events kept for operators to read. */
-const eventsKept = 20_000;
+/** Number of events kept for operators to read. */
+const maxEvents = 20_000;
 
 /**
  * Creates the event log of a process.
  *
  * @param process Name of the process.
- * @param options The clock, and what to do with each event besides keeping it.
+ * @param options The clock, and a callback for each event.
  */
 export function createEventLog(
 	process: string,
@@ -21,12 +21,12 @@
 		emit(event) {
 			const stamped = {time: options.clock.tick(), process, ...event};
 			events.push(stamped);
-			if (events.length > 2 * eventsKept) {
-				events = events.slice(-eventsKept);
+			if (events.length > 2 * maxEvents) {
+				events = events.slice(-maxEvents);
 			}
 
 			options.onEvent?.(stamped);
 		},
-		list: () => events.slice(-eventsKept),
+		list: () => events.slice(-maxEvents),
 	};
 }
--- a/packages/events/create-hybrid-clock.ts
+++ b/packages/events/create-hybrid-clock.ts
@@ -2,9 +2,9 @@
 import type {HybridClock} from './hybrid-clock.ts';
 
 /**
- * Creates a hybrid logical clock (Kulkarni, Demirbas and others 2014).
+ * Creates a hybrid logical clock, as described by Kulkarni, Demirbas and others (2014).
  *
- * @param wallNow Present wall-clock time in milliseconds.
+ * @param wallNow Returns the present wall-clock time in milliseconds.
  */
 export function createHybridClock(wallNow: () => number): HybridClock {
 	let last = 0n;
--- a/packages/events/event-filter.ts
+++ b/packages/events/event-filter.ts
@@ -1,4 +1,4 @@
-/** Which events of a time line to show; an absent part admits all. */
+/** Selects events of a timeline. An absent property matches all events. */
 export type EventFilter = {
 	readonly request?: string | undefined;
 	readonly workspace?: string | undefined;
--- a/packages/events/event-log.ts
+++ b/packages/events/event-log.ts
@@ -1,9 +1,10 @@
 import process from 'node:process';
 import type {ProcessEvent} from './process-event.ts';
 
-/** The events of one process. */
+/** Log of the events of one process. */
 export type EventLog = {
+	/** Stamps an event with the time and the process, and adds it to the log. */
 	readonly emit: (event: Omit<ProcessEvent, 'time' | 'process'>) => void;
-	/** The newest events, oldest first. */
+	/** Returns the most recent events, oldest first. */
 	readonly list: () => readonly ProcessEvent[];
 };
--- a/packages/events/hybrid-clock.ts
+++ b/packages/events/hybrid-clock.ts
@@ -1,8 +1,8 @@
 import process from 'node:process';
-/** A hybrid logical clock: 48 bits of milliseconds, 16 bits of a counter. */
+/** A hybrid logical clock. The upper 48 bits of a time hold milliseconds, the lower 16 bits a counter. */
 export type HybridClock = {
-	/** Time of a local event; later than all times seen. */
+	/** Returns the time of a local event, which is later than all earlier and all observed times. */
 	readonly tick: () => bigint;
-	/** Takes in the time of a message from another process. */
+	/** Advances the clock to the time of a message from another process. */
 	readonly observe: (time: bigint) => void;
 };
--- a/packages/events/merge-timeline.ts
+++ b/packages/events/merge-timeline.ts
@@ -5,7 +5,7 @@
 /**
  * Merges the events of all processes into one order: by hybrid logical time, then by process.
  *
- * An event that led to another in a different process comes before it.
+ * An event that caused an event in another process precedes it.
  */
 export function mergeTimeline(events: readonly ProcessEvent[], filter: EventFilter): readonly ProcessEvent[] {
 	return events
--- a/packages/events/mod.ts
+++ b/packages/events/mod.ts
@@ -1,4 +1,4 @@
-/** Typed events with hybrid logical times, and their time line. */
+/** Typed events with hybrid logical timestamps, and the timeline merged from them. */
 export * from './create-event-log.ts';
 export * from './create-hybrid-clock.ts';
 export type * from './event-filter.ts';
--- a/packages/events/parse-event.ts
+++ b/packages/events/parse-event.ts
@@ -11,7 +11,7 @@
 	detail: z.string().optional(),
 });
 
-/** Parses a line of JSON as an event; undefined when it is none, such as a log line between events. */
+/** Parses a line of JSON as an event. Returns `undefined` for other lines, such as a log line between events. */
 export function parseEvent(line: string): ProcessEvent | undefined {
 	if (!line.startsWith('{')) {
 		return undefined;
--- a/packages/events/process-event.ts
+++ b/packages/events/process-event.ts
@@ -1,15 +1,15 @@
 import process from 'node:process';
-/** Something that happened in a process. Names no key and no statement text. */
+/** An event of a process. Must not contain keys or statement texts. */
 export type ProcessEvent = {
 	/** Hybrid logical time. */
 	readonly time: bigint;
-	/** Host or instance in which it happened. */
+	/** Host or instance that emitted the event. */
 	readonly process: string;
 	readonly kind: EventKind;
 	readonly request?: string | undefined;
 	readonly workspace?: string | undefined;
 	readonly database?: string | undefined;
-	/** Further particulars in a few words. */
+	/** Further details in a few words. */
 	readonly detail?: string | undefined;
 };
 
--- a/packages/events/ticks-per-ms.ts
+++ b/packages/events/ticks-per-ms.ts
@@ -1,2 +1,2 @@
-/** Hybrid logical times in one millisecond. */
+/** Ticks of the hybrid logical clock per millisecond: 2^16, the range of its counter. */
 export const ticksPerMs = 65_536n;
--- a/packages/load/check-history.ts
+++ b/packages/load/check-history.ts
@@ -46,26 +46,26 @@
 	options: {readonly acknowledged: readonly number[]; readonly age: number},
 ): readonly Violation[] {
 	return reads.flatMap(({
-		request, sentAt, observed: seen, lastAcknowledgedWrite: knownWrite,
+		request, sentAt, observed, lastAcknowledgedWrite,
 	}): readonly Violation[] => {
-		if (seen === undefined) {
+		if (observed === undefined) {
 			return [];
 		}
 
-		if (seen.id !== request.id) {
-			return [{kind: 'foreign', request: request.id, detail: `the answer is that of ${seen.id}`}];
+		if (observed.id !== request.id) {
+			return [{kind: 'foreign', request: request.id, detail: `the answer is that of ${observed.id}`}];
 		}
 
 		if (request.class === 'session') {
-			return seen.lastWrite < knownWrite
-				? [{kind: 'unreadWrite', request: request.id, detail: `write ${knownWrite} of the session is missing`}]
+			return observed.lastWrite < lastAcknowledgedWrite
+				? [{kind: 'unreadWrite', request: request.id, detail: `write ${lastAcknowledgedWrite} of the session is missing`}]
 				: [];
 		}
 
 		const since = request.class === 'latest' ? sentAt : sentAt - options.age;
 		const least = countBefore(options.acknowledged, since);
-		return seen.rows < least
-			? [{kind: 'stale', request: request.id, detail: `${seen.rows} rows, and ${least} were acknowledged in time`}]
+		return observed.rows < least
+			? [{kind: 'stale', request: request.id, detail: `${observed.rows} rows, and ${least} were acknowledged in time`}]
 			: [];
 	});
 }
--- a/packages/load/create-report.ts
+++ b/packages/load/create-report.ts
@@ -19,7 +19,7 @@
 	const plots = await Promise.all([
 		drawPlot(createLatencyPlot(options)),
 		drawPlot(createAnswerPlot(options)),
-		drawPlot(createLanePlot(options)),
+		drawPlot(createFaultPlot(options)),
 	]);
 	return [
 		'<!doctype html>',
@@ -82,8 +82,8 @@
 	};
 }
 
-function createLanePlot({faults: lanes}: Options): TopLevelSpec {
-	const values = lanes.map(({title, from, to}) => ({title, from: from / millisecondsPerSecond, to: to / millisecondsPerSecond}));
+function createFaultPlot({faults}: Options): TopLevelSpec {
+	const values = faults.map(({title, from, to}) => ({title, from: from / millisecondsPerSecond, to: to / millisecondsPerSecond}));
 	return {
 		...size,
 		title: 'Faults',
--- a/packages/load/create-schedule.ts
+++ b/packages/load/create-schedule.ts
@@ -27,10 +27,10 @@
 ): ReadonlyArray<Omit<ScheduledRequest, 'id'>> {
 	const {workspace, random} = options;
 	const arrivals: Array<Omit<ScheduledRequest, 'id'>> = [];
-	const step = () => -Math.log(1 - random()) * millisecondsPerSecond / workspace.offered;
-	for (let at = step(); at < plan.duration; at += step()) {
+	const drawGap = () => -Math.log(1 - random()) * millisecondsPerSecond / workspace.offered;
+	for (let scheduledAt = drawGap(); scheduledAt < plan.duration; scheduledAt += drawGap()) {
 		arrivals.push({
-			scheduledAt: at,
+			scheduledAt,
 			workspace: workspace.name,
 			session: Math.floor(random() * workspace.sessions),
 			class: chooseClass(workspace, random()),
@@ -41,12 +41,12 @@
 	return arrivals;
 }
 
-function chooseClass(workspace: LoadPlan['workspaces'][number], point: number): LoadClass {
+function chooseClass(workspace: LoadPlan['workspaces'][number], fraction: number): LoadClass {
 	const total = loadClasses.reduce((sum, name) => sum + workspace[name], 0);
-	let left = point * total;
+	let remaining = fraction * total;
 	for (const name of loadClasses) {
-		left -= workspace[name];
-		if (left < 0) {
+		remaining -= workspace[name];
+		if (remaining < 0) {
 			return name;
 		}
 	}
--- a/packages/load/run-load.ts
+++ b/packages/load/run-load.ts
@@ -22,7 +22,7 @@
 type Session = {
 	token: string;
 	sentWrites: number;
-	knownWrite: number;
+	lastAcknowledgedWrite: number;
 };
 
 /** Milliseconds between two reports of progress. */
@@ -57,7 +57,7 @@
 	const run = async (request: ScheduledRequest) => {
 		const client = clients.get(request.workspace)?.[request.targetIndex];
 		const name = `${request.workspace}/${request.session}`;
-		const session = sessions.get(name) ?? {token: '', sentWrites: 0, knownWrite: 0};
+		const session = sessions.get(name) ?? {token: '', sentWrites: 0, lastAcknowledgedWrite: 0};
 		sessions.set(name, session);
 		if (client !== undefined) {
 			outcomes.push(await sendRequest(plan, {
@@ -99,14 +99,14 @@
 	const {request, session, client, elapsed} = options;
 	const isWrite = request.class === 'write';
 	const sentAt = elapsed();
-	const {knownWrite} = session;
+	const {lastAcknowledgedWrite} = session;
 	if (isWrite) {
 		session.sentWrites++;
 	}
 
 	const write = isWrite ? session.sentWrites : 0;
 	const base = {
-		request, sentAt, knownWrite, write,
+		request, sentAt, lastAcknowledgedWrite, writeNumber: write,
 	};
 	try {
 		const response = await client.execute({
@@ -117,7 +117,7 @@
 			session: session.token,
 			deadlineMs: plan.deadline,
 		});
-		noteAnswer(response, {session, write});
+		recordAnswer(response, {session, write});
 		return {...base, answeredAt: elapsed(), ...decodeOutcome(response, request)};
 	} catch {
 		return {
@@ -126,13 +126,13 @@
 	}
 }
 
-function noteAnswer(response: ExecuteResponse, {session, write}: {readonly session: Session; readonly write: number}): void {
+function recordAnswer(response: ExecuteResponse, {session, write}: {readonly session: Session; readonly write: number}): void {
 	if (response.answer.case !== 'done' || write === 0) {
 		return;
 	}
 
-	if (write > session.knownWrite) {
-		session.knownWrite = write;
+	if (write > session.lastAcknowledgedWrite) {
+		session.lastAcknowledgedWrite = write;
 		session.token = response.answer.value.session;
 	}
 }
@@ -166,7 +166,7 @@
 function decodeOutcome(
 	{answer}: ExecuteResponse,
 	request: ScheduledRequest,
-): Pick<RequestOutcome, 'kind' | 'code' | 'instance' | 'seen'> {
+): Pick<RequestOutcome, 'kind' | 'code' | 'instance' | 'observed'> {
 	if (answer.case !== 'done') {
 		return {
 			kind: answer.case ?? 'failed', code: answer.value?.code ?? -1, instance: '', observed: undefined,
@@ -179,7 +179,7 @@
 		kind: 'done',
 		code: answer.value.code,
 		instance: answer.value.instance,
-		observed: request.class === 'write' ? undefined : {id: String(id), write: Number(write), rows: Number(rows)},
+		observed: request.class === 'write' ? undefined : {id: String(id), lastWrite: Number(write), rows: Number(rows)},
 	};
 }
 
--- a/packages/operators/create-metrics.ts
+++ b/packages/operators/create-metrics.ts
@@ -3,9 +3,10 @@
 } from 'prom-client';
 import type {Metrics} from './metrics.ts';
 
-const secondsBuckets = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
+/** Upper bounds of the buckets of the request histogram, in seconds. */
+const requestBucketsSeconds = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
 
-/** Creates the metrics of a host in a registry of their own. */
+/** Creates the metrics of a host in a new registry. */
 export function createMetrics(): Metrics {
 	const registry = new Registry();
 	const registers = [registry];
@@ -16,7 +17,7 @@
 			name: 'sapphirefall_requests_total', help: 'Requests answered, by class and result code.', labelNames: ['class', 'code'], registers,
 		}),
 		requestSeconds: new Histogram({
-			name: 'sapphirefall_request_seconds', help: 'Seconds from arrival to answer, by class.', labelNames: ['class'], buckets: secondsBuckets, registers,
+			name: 'sapphirefall_request_seconds', help: 'Seconds from arrival to answer, by class.', labelNames: ['class'], buckets: requestBucketsSeconds, registers,
 		}),
 		reads: new Counter({
 			name: 'sapphirefall_reads_total', help: 'Reads served, by role of the instance.', labelNames: ['role'], registers,
--- a/packages/operators/create-operator-handler.ts
+++ b/packages/operators/create-operator-handler.ts
@@ -18,11 +18,11 @@
 const textHeaders = {'content-type': 'text/plain; charset=utf-8'};
 
 /**
- * Creates the HTTP handler that operators speak to.
+ * Creates the HTTP handler of the operator interface.
  *
- * `/health`, `/ready` and `/metrics` are open; `/events` and the operator service need the operator token.
+ * `/health`, `/ready` and `/metrics` need no token. `/events` and the operator service need the operator token.
  *
- * @param backend What carries out requests.
+ * @param backend Carries out the requests.
  * @param tokenDigest SHA-256 of the operator token, in hexadecimal.
  */
 export function createOperatorHandler(backend: OperatorBackend, tokenDigest: string): Handler {
@@ -88,7 +88,7 @@
 	options: {readonly backend: OperatorBackend; readonly isOperator: (authorization: string) => boolean},
 ): void {
 	const {backend, isOperator} = options;
-	const check = (context: HandlerContext) => {
+	const requireOperator = (context: HandlerContext) => {
 		if (!isOperator(context.requestHeader.get('authorization') ?? '')) {
 			throw new ConnectError('the operator token is missing or wrong', Code.Unauthenticated);
 		}
@@ -96,7 +96,7 @@
 
 	router.service(OperatorService, {
 		async change(request, context) {
-			check(context);
+			requireOperator(context);
 			const decoded = decodeChange(request);
 			return decoded.kind === 'invalid' || request.changeId === ''
 				? {
@@ -106,11 +106,11 @@
 				: backend.change(request, decoded.change);
 		},
 		status(_request, context) {
-			check(context);
+			requireOperator(context);
 			return backend.readStatus();
 		},
 		drain(_request, context) {
-			check(context);
+			requireOperator(context);
 			backend.drain();
 			return {};
 		},
--- a/packages/operators/decode-declaration.ts
+++ b/packages/operators/decode-declaration.ts
@@ -4,14 +4,14 @@
 import type {Declare} from '@sapphirefall/wire';
 import type {DecodedChange} from './decoded-change.ts';
 
-const sections: readonly string[] = ['workspaces', 'keys', 'freshness', 'exceptions', 'routes'] satisfies ReadonlyArray<keyof Declaration>;
+const sectionNames: readonly string[] = ['workspaces', 'keys', 'freshness', 'exceptions', 'routes'] satisfies ReadonlyArray<keyof Declaration>;
 
-/** Decodes a declaration of whole sections of the configuration. */
+/** Decodes a declaration, which replaces whole sections of the configuration. */
 export function decodeDeclaration(declared: Declare): DecodedChange {
-	const unknown = declared.sections.filter(section => !sections.includes(section));
+	const unknown = declared.sections.filter(section => !sectionNames.includes(section));
 	const texts = [...declared.freshness, ...declared.exceptions, ...declared.routes].map(({freshness}) => freshness);
 	const faults = [
-		...unknown.map(section => `the section "${section}" is none of ${sections.join(', ')}`),
+		...unknown.map(section => `the section "${section}" is none of ${sectionNames.join(', ')}`),
 		...texts
 			.filter(text => parseFreshness(text) === undefined)
 			.map(text => describeUnknownFreshness(text)),
@@ -21,7 +21,7 @@
 		: {kind: 'invalid', reason: faults.join('; ')};
 }
 
-/** Builds the sections that the message says it holds. */
+/** Returns the sections that the message lists. A section that is listed and empty is declared empty. */
 function selectSections(declared: Declare): Declaration {
 	const has = (section: keyof Declaration) => declared.sections.includes(section);
 	return {
--- a/packages/operators/decoded-change.ts
+++ b/packages/operators/decoded-change.ts
@@ -1,6 +1,6 @@
 import type {Change} from '@sapphirefall/decisions';
 
-/** A change as it came, or what is wrong with it. */
+/** A decoded change, or the reason why it is invalid. */
 export type DecodedChange =
 	| {readonly kind: 'change'; readonly change: Change}
 	| {readonly kind: 'invalid'; readonly reason: string};
--- a/packages/operators/mod.ts
+++ b/packages/operators/mod.ts
@@ -1,4 +1,4 @@
-/** Operators as a peer: changes, status, metrics and the command line. */
+/** Server side of the operator interface: changes, status, metrics and health checks. */
 export * from './create-metrics.ts';
 export * from './create-operator-handler.ts';
 export * from './decode-change.ts';
--- a/packages/platform/commit-change.ts
+++ b/packages/platform/commit-change.ts
@@ -10,52 +10,53 @@
 import type {ConfigurationHead} from './configuration-head.ts';
 import type {PlatformClient} from './platform-client.ts';
 
-type Requested = {
+type RequestedChange = {
 	readonly change: Change;
-	/** Names the change, so that a lost answer can be settled. */
+	/** Identifies the change, so that a retry after a lost answer finds out whether it was committed. */
 	readonly changeId: string;
-	/** Version that the change was based on; 0 for the newest. */
+	/** Version that the change is based on; 0 stands for the newest. */
 	readonly basedOn: number;
-	/** This host. */
+	/** Id of this host. */
 	readonly host: string;
 };
 
-/** The table row as it is now, and the configuration that it names. */
-type Current = {
+/** The present table row and the configuration that it refers to. */
+type CurrentState = {
 	readonly rowVersion: number;
 	readonly head: ConfigurationHead;
 	readonly configuration: Configuration;
 };
 
-/** Attempts at a change that names no version, while others commit theirs. */
-const attemptLimit = 8;
+/** Maximum number of attempts when concurrent changes win the compare-and-set or answers are lost. */
+const maxAttempts = 8;
 
-/** Changes that the row tells of, for an operator whose change lost. */
-const changesKept = 50;
+/** Number of changes kept in the row, to tell an operator with an outdated version what changed since. */
+const maxKeptChanges = 50;
 
 /**
- * Commits an operator's change with a compare-and-set on the configuration's version.
+ * Commits an operator's change with a compare-and-set on the version of the table row.
  *
- * When the answer to the write is lost, the row is read back: the change's identifier in it settles the matter.
+ * When the answer to the write is lost, the next attempt reads the row. The change was committed if the row holds
+ * its identifier.
  *
- * @param platform The platform.
- * @param requested The change, its identifier, and the version it was based on.
+ * @param platform Client of the platform.
+ * @param requested The change, its identifier, the version that it is based on, and this host.
  */
-export async function commitChange(platform: PlatformClient, requested: Requested): Promise<CommitOutcome> {
-	let wasWritten = false;
-	for (let attempt = 0; attempt < attemptLimit; attempt++) {
-		let current: Current;
+export async function commitChange(platform: PlatformClient, requested: RequestedChange): Promise<CommitOutcome> {
+	let wasAttempted = false;
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		let current: CurrentState;
 		try {
-			current = await readCurrent(platform); // eslint-disable-line no-await-in-loop -- attempts follow each other
+			current = await readCurrent(platform); // eslint-disable-line no-await-in-loop -- attempts run one after another
 		} catch {
-			return wasWritten
+			return wasAttempted
 				? createRefusal(resultCodes.storeAnswerLost, 'the store did not answer; the change may have been made', 0)
 				: createRefusal(resultCodes.storeUnavailable, 'the store does not answer; nothing was changed', 0);
 		}
 
-		const made = current.head.changes.find(({changeId}) => changeId === requested.changeId);
-		if (made !== undefined) {
-			return {kind: 'committed', fleet: createFleet(current, current.rowVersion)};
+		const committed = current.head.changes.find(({changeId}) => changeId === requested.changeId);
+		if (committed !== undefined) {
+			return {kind: 'committed', fleet: createFleetConfiguration(current, current.rowVersion)};
 		}
 
 		const refusal = checkAcceptor(current, requested) ?? checkBase(current, requested);
@@ -68,10 +69,10 @@
 			return createRefusal(outcome.code, outcome.reason, current.configuration.version);
 		}
 
-		wasWritten = true;
-		// eslint-disable-next-line no-await-in-loop -- attempts follow each other
+		wasAttempted = true;
+		// eslint-disable-next-line no-await-in-loop -- attempts run one after another
 		if (await writeNext(platform, {current, requested, configuration: outcome.configuration})) {
-			return {kind: 'committed', fleet: createFleet({...current, configuration: outcome.configuration}, current.rowVersion + 1)};
+			return {kind: 'committed', fleet: createFleetConfiguration({...current, configuration: outcome.configuration}, current.rowVersion + 1)};
 		}
 	}
 
@@ -84,27 +85,27 @@
 	};
 }
 
-/** Joins what the row names with the row's version. */
-function createFleet(current: Current, rowVersion: number): FleetConfiguration {
+/** Combines the configuration and the roster with the version of the row. */
+function createFleetConfiguration(current: CurrentState, rowVersion: number): FleetConfiguration {
 	return {configuration: current.configuration, roster: {...current.head.roster, head: rowVersion}};
 }
 
-/** Refuses a change at a host that is no acceptor, since other hosts do not wait for its word. */
-function checkAcceptor(current: Current, requested: Requested): CommitOutcome | undefined {
+/** Refuses a change at a host that is not an acceptor, since other hosts do not wait for its confirmation. */
+function checkAcceptor(current: CurrentState, requested: RequestedChange): CommitOutcome | undefined {
 	const {acceptors} = current.head.roster;
 	return acceptors.length === 0 || acceptors.includes(requested.host)
 		? undefined
 		: createRefusal(resultCodes.acceptorElsewhere, `changes enter through ${acceptors.join(', ')}`, current.configuration.version);
 }
 
-async function readCurrent(platform: PlatformClient): Promise<Current> {
+async function readCurrent(platform: PlatformClient): Promise<CurrentState> {
 	const row = await platform.readRow(configurationRowName);
 	const head = parseConfigurationRow(row);
 	return {rowVersion: row.version, head, configuration: await readConfigurationBody(platform, head.object)};
 }
 
-/** Refuses a change that was based on an older version, and tells what changed since. */
-function checkBase(current: Current, requested: Requested): CommitOutcome | undefined {
+/** Refuses a change that is based on another version than the present one, and lists what changed since. */
+function checkBase(current: CurrentState, requested: RequestedChange): CommitOutcome | undefined {
 	if (requested.basedOn === 0 || requested.basedOn === current.configuration.version) {
 		return undefined;
 	}
@@ -119,16 +120,16 @@
 	);
 }
 
-/** Writes the next version; false when another change went first or the answer was lost. */
+/** Writes the next version. Returns `false` when another change was committed first or the answer was lost. */
 async function writeNext(
 	platform: PlatformClient,
-	next: {readonly current: Current; readonly requested: Requested; readonly configuration: Configuration},
+	next: {readonly current: CurrentState; readonly requested: RequestedChange; readonly configuration: Configuration},
 ): Promise<boolean> {
 	const {current, requested, configuration} = next;
 	const object = `configuration/${configuration.version}-${requested.changeId}`;
 	const summary = describeChange(requested.change);
 	const entry = {version: configuration.version, changeId: requested.changeId, summary};
-	const head: ConfigurationHead = {...current.head, object, changes: [...current.head.changes, entry].slice(-changesKept)};
+	const head: ConfigurationHead = {...current.head, object, changes: [...current.head.changes, entry].slice(-maxKeptChanges)};
 	try {
 		await platform.writeObject(object, Buffer.from(JSON.stringify(configuration)));
 		const written = await platform.writeRow(configurationRowName, {
--- a/packages/platform/commit-roster.ts
+++ b/packages/platform/commit-roster.ts
@@ -6,26 +6,26 @@
 import type {PlatformClient} from './platform-client.ts';
 
 /**
- * Commits a roster, if the table row is still the one that the roster was chosen for.
+ * Commits a roster with a compare-and-set on the version of the table row.
  *
- * @param platform The platform.
- * @param next The version of the row that is known, the hosts and the acceptors.
- * @returns What is in force afterwards, or `undefined` when another change went first.
+ * @param platform Client of the platform.
+ * @param next The roster, and in `head` the version of the row that it was chosen for.
+ * @returns The configuration and roster then in force, or `undefined` when the row was changed in between.
  * @throws {Error} When the platform does not answer; the roster may have been committed.
  */
 export async function commitRoster(
 	platform: PlatformClient,
 	next: Omit<Roster, 'epoch'>,
 ): Promise<FleetConfiguration | undefined> {
-	const {head: expectedVersion, ...chosen} = next;
+	const {head: expectedVersion, ...members} = next;
 	const row = await platform.readRow(configurationRowName);
 	if (row.version !== expectedVersion) {
 		return undefined;
 	}
 
-	const old = parseConfigurationRow(row);
-	const roster = {...chosen, epoch: old.roster.epoch + 1};
-	const head: ConfigurationHead = {...old, roster};
+	const previous = parseConfigurationRow(row);
+	const roster = {...members, epoch: previous.roster.epoch + 1};
+	const head: ConfigurationHead = {...previous, roster};
 	const written = await platform.writeRow(configurationRowName, {expectedVersion, value: JSON.stringify(head)});
 	return written.isWritten
 		? {configuration: await readConfigurationBody(platform, head.object), roster: {...roster, head: written.row.version}}
--- a/packages/platform/configuration-head.ts
+++ b/packages/platform/configuration-head.ts
@@ -1,11 +1,11 @@
 import type {Roster} from '@sapphirefall/decisions';
 
-/** The table row that names the configuration in force and holds the roster. */
+/** Content of the table row that refers to the configuration in force and holds the roster. */
 export type ConfigurationHead = {
 	readonly roster: Omit<Roster, 'head'>;
-	/** Name of the object that holds the body; empty before the first change. */
+	/** Name of the object that holds the configuration; empty before the first change. */
 	readonly object: string;
-	/** The latest changes, oldest first. */
+	/** The most recent changes, oldest first. */
 	readonly changes: ReadonlyArray<{
 		readonly version: number;
 		readonly changeId: string;
--- a/packages/platform/configuration-row-name.ts
+++ b/packages/platform/configuration-row-name.ts
@@ -1,2 +1,2 @@
-/** Name of the table row that names the configuration in force. */
+/** Name of the table row that refers to the configuration in force. */
 export const configurationRowName = 'configuration';
--- a/packages/platform/create-platform-client.ts
+++ b/packages/platform/create-platform-client.ts
@@ -10,14 +10,14 @@
  * Creates a client of the platform.
  *
  * @param address URL of the platform.
- * @param timeout Milliseconds to wait for an answer.
+ * @param timeoutMs Milliseconds to wait for an answer.
  */
-export function createPlatformClient(address: string, timeout: number): PlatformClient {
+export function createPlatformClient(address: string, timeoutMs: number): PlatformClient {
 	const transport = createConnectTransport({baseUrl: address, httpVersion: '2'});
 	const table = createClient(TableService, transport);
 	const objects = createClient(ObjectService, transport);
 	const fleet = createClient(FleetService, transport);
-	const options = {timeoutMs: timeout};
+	const options = {timeoutMs};
 	return {
 		readRow: async name => table.readRow({name}, options),
 		async writeRow(name, next) {
@@ -41,9 +41,9 @@
 	};
 }
 
-function decodeHost(place: FleetHost | FleetInstance): Host {
+function decodeHost(member: FleetHost | FleetInstance): Host {
 	return {
-		id: place.id, zone: place.zone, address: place.address, isDeparting: place.departing,
+		id: member.id, zone: member.zone, address: member.address, isDeparting: member.departing,
 	};
 }
 
--- a/packages/platform/describe-change.ts
+++ b/packages/platform/describe-change.ts
@@ -1,6 +1,6 @@
 import type {Change} from '@sapphirefall/decisions';
 
-/** Describes a change in a few words for operators; digests are left out. */
+/** Describes a change in a few words for operators, without key digests. */
 export function describeChange(change: Change): string {
 	switch (change.kind) {
 		case 'setWorkspace': {
--- a/packages/platform/format-fleet-configuration.ts
+++ b/packages/platform/format-fleet-configuration.ts
@@ -1,6 +1,6 @@
 import type {FleetConfiguration} from '@sapphirefall/decisions';
 
-/** Formats configuration and roster as the text that hosts pass on. */
+/** Formats the configuration and the roster as JSON, in which form hosts exchange them. */
 export function formatFleetConfiguration({configuration, roster}: FleetConfiguration): string {
 	return JSON.stringify({configuration: JSON.stringify(configuration), roster});
 }
--- a/packages/platform/mod.ts
+++ b/packages/platform/mod.ts
@@ -1,4 +1,4 @@
-/** The platform as a peer: table, object store and fleet list. */
+/** Client of the platform: table, object store and list of hosts and instances. */
 export * from './commit-change.ts';
 export type * from './commit-outcome.ts';
 export * from './commit-roster.ts';
@@ -7,10 +7,10 @@
 export * from './create-platform-client.ts';
 export * from './describe-change.ts';
 export * from './format-fleet-configuration.ts';
-export * from './parse-configuration.ts';
-export * from './parse-fleet-configuration.ts';
 export * from './parse-configuration-head.ts';
 export * from './parse-configuration-row.ts';
+export * from './parse-configuration.ts';
+export * from './parse-fleet-configuration.ts';
 export type * from './platform-client.ts';
 export * from './read-configuration-body.ts';
 export * from './read-configuration.ts';
--- a/packages/platform/parse-configuration-head.ts
+++ b/packages/platform/parse-configuration-head.ts
@@ -9,9 +9,9 @@
 });
 
 /**
- * Parses the table row that names the configuration in force.
+ * Parses the value of the table row that refers to the configuration in force.
  *
- * @throws {Error} When the text is not such a row.
+ * @throws {Error} When the text is not JSON or does not match the schema.
  */
 export function parseConfigurationHead(text: string): ConfigurationHead {
 	return schema.parse(JSON.parse(text));
--- a/packages/platform/parse-configuration-row.ts
+++ b/packages/platform/parse-configuration-row.ts
@@ -1,7 +1,7 @@
 import {parseConfigurationHead} from './parse-configuration-head.ts';
 import type {ConfigurationHead} from './configuration-head.ts';
 
-/** What the row of a new fleet would hold. */
+/** Content that stands for the absent row of a new fleet. */
 const emptyHead: ConfigurationHead = {
 	object: '', changes: [], roster: {
 		epoch: 0, hosts: [], homes: [], acceptors: [],
@@ -9,9 +9,9 @@
 };
 
 /**
- * Parses the table row that names the configuration; an absent row is that of a new fleet.
+ * Parses the table row that refers to the configuration in force. An absent row (version 0) is that of a new fleet.
  *
- * @throws {Error} When the row holds something else.
+ * @throws {Error} When the value of the row is not JSON or does not match the schema.
  */
 export function parseConfigurationRow(row: {readonly version: number; readonly value: string}): ConfigurationHead {
 	return row.version === 0 ? emptyHead : parseConfigurationHead(row.value);
--- a/packages/platform/parse-configuration.ts
+++ b/packages/platform/parse-configuration.ts
@@ -27,9 +27,9 @@
 });
 
 /**
- * Parses a configuration from the JSON text in which it is kept and passed on.
+ * Parses a configuration from JSON, in which form it is stored and exchanged between hosts.
  *
- * @throws {Error} When the text is not a configuration.
+ * @throws {Error} When the text is not JSON or does not match the schema.
  */
 export function parseConfiguration(text: string): Configuration {
 	return schema.parse(JSON.parse(text));
--- a/packages/platform/parse-fleet-configuration.ts
+++ b/packages/platform/parse-fleet-configuration.ts
@@ -9,9 +9,9 @@
 });
 
 /**
- * Parses the configuration and roster that another host passed on.
+ * Parses the configuration and the roster that another host sent.
  *
- * @throws {Error} When the text is not of {@link formatFleet}.
+ * @throws {Error} When the text does not have the form that {@link formatFleetConfiguration} writes.
  */
 export function parseFleetConfiguration(text: string): FleetConfiguration {
 	const {configuration, roster} = schema.parse(JSON.parse(text));
--- a/packages/platform/platform-client.ts
+++ b/packages/platform/platform-client.ts
@@ -1,12 +1,12 @@
 import type {Group, Host} from '@sapphirefall/decisions';
 
-/** A row of the platform's table; version 0 means that it is absent. */
+/** A row of the platform's table. Version 0 means that the row is absent. */
 type Row = {readonly version: number; readonly value: string};
 
-/** What the platform offers. A call that gets no answer rejects; it may have taken effect. */
+/** Client of the platform. A call rejects when no answer arrives; it may have taken effect. */
 export type PlatformClient = {
 	readonly readRow: (name: string) => Promise<Row>;
-	/** Writes a row if its version is the expected one. */
+	/** Writes a row if it has the expected version. `isWritten` tells whether it had. */
 	readonly writeRow: (name: string, next: {readonly expectedVersion: number; readonly value: string}) =>
 	Promise<{readonly isWritten: boolean; readonly row: Row}>;
 	readonly readObject: (name: string) => Promise<Uint8Array>;
--- a/packages/platform/read-configuration-body.ts
+++ b/packages/platform/read-configuration-body.ts
@@ -4,9 +4,9 @@
 import type {PlatformClient} from './platform-client.ts';
 
 /**
- * Reads the body of a configuration from the object store; an empty name stands for the first one.
+ * Reads a configuration from the object store. An empty name stands for the initial configuration.
  *
- * @throws {Error} When the platform does not answer.
+ * @throws {Error} When the platform does not answer or the object is not a configuration.
  */
 export async function readConfigurationBody(platform: PlatformClient, object: string): Promise<Configuration> {
 	if (object === '') {
--- a/packages/platform/read-configuration.ts
+++ b/packages/platform/read-configuration.ts
@@ -7,9 +7,9 @@
 /**
  * Reads the configuration in force and the roster.
  *
- * The body is fetched only when the table row differs from the known one.
+ * Reads the object only when the version of the table row differs from the known one.
  *
- * @throws {Error} When the platform does not answer.
+ * @throws {Error} When the platform does not answer or what it holds cannot be parsed.
  */
 export async function readConfiguration(
 	platform: PlatformClient,
--- a/packages/platform/roster-schema.ts
+++ b/packages/platform/roster-schema.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** The schema of a roster in the table row. */
+/** Schema of the roster as stored in the table row, without the version of the row. */
 export const rosterSchema = z.strictObject({
 	epoch: z.number(),
 	hosts: z.array(z.string()),
