--- a/daemons/choose-action.ts
+++ b/daemons/choose-action.ts
@@ -2,11 +2,11 @@
 import {CommandError} from './command-error.ts';
 
 /**
- * Chooses the action of a command by its name.
+ * Chooses an action of a command by name.
  *
- * @param name The name that was given.
- * @param actions The actions that there are.
- * @throws {CommandError} When there is no action of the name.
+ * @param name Name given on the command line.
+ * @param actions Actions of the command, by name.
+ * @throws {CommandError} When no action has this name.
  */
 export function chooseAction<Action>(name: string, actions: Readonly<Record<string, Action>>): Action {
 	const action = actions[name];
--- a/daemons/command-error.ts
+++ b/daemons/command-error.ts
@@ -1,6 +1,6 @@
 import type {ResultCode} from '@sapphirefall/decisions';
 
-/** Ends a command with an exit code of the result-code table and one sentence on the error stream. */
+/** Ends a command: `code` becomes the exit code, and the message is printed to the error stream. */
 export class CommandError extends Error {
 	constructor(readonly code: ResultCode, message: string) {
 		super(message);
--- a/daemons/connect-operator.ts
+++ b/daemons/connect-operator.ts
@@ -10,15 +10,15 @@
 import type {OperatorOptions} from './operator-options.ts';
 
 /** Milliseconds to wait for the answer of a host. */
-const timeout = 5000;
+const callTimeoutMs = 5000;
 
 type Call<T> = (client: Client<typeof OperatorService>) => Promise<T>;
 
 /**
- * Makes a call to the host that the options or the environment name.
+ * Calls the operator service of the host that the options or the environment give.
  *
- * @param options `--address` or SAPPHIREFALL_ADDRESS, `--token-file` or SAPPHIREFALL_OPERATOR_TOKEN.
- * @param call The call.
+ * @param options Address and token file; the defaults are `SAPPHIREFALL_ADDRESS` and `SAPPHIREFALL_OPERATOR_TOKEN`.
+ * @param call Makes the call with a client of the service.
  * @throws {CommandError} When the address or token is missing, the token is wrong, or the host does not answer.
  */
 export async function connectOperator<T>(options: OperatorOptions, call: Call<T>): Promise<T> {
@@ -28,7 +28,7 @@
 	}
 
 	const transport = createConnectTransport({
-		baseUrl, httpVersion: '1.1', interceptors: [createTokenInterceptor(readToken(options))], defaultTimeoutMs: timeout,
+		baseUrl, httpVersion: '1.1', interceptors: [createTokenInterceptor(readToken(options))], defaultTimeoutMs: callTimeoutMs,
 	});
 	try {
 		return await call(createClient(OperatorService, transport));
--- a/daemons/create-command-line.ts
+++ b/daemons/create-command-line.ts
@@ -13,7 +13,7 @@
 
 const version = '0.1.0';
 
-/** Creates the command line with all its commands. */
+/** Creates the command-line interface with all commands. */
 export function createCommandLine(): CAC {
 	const cli = cac('sapphirefall');
 	addHostCommands(cli);
@@ -80,7 +80,7 @@
 		.option('--json', 'Write the measures as JSON')
 		.example('sapphirefall load plan.yaml --report report.html')
 		.action(async (plan: string, options: {readonly report?: string; readonly json?: boolean}) => {
-			// The plotting libraries would cost every host its memory and the time of its start.
+			// Loaded on demand: the plotting libraries would add to the memory and the start-up time of every host.
 			const {runLoadPlan} = await import('./run-load-plan.ts');
 			await runLoadPlan(plan, options);
 		});
--- a/daemons/create-declaration.ts
+++ b/daemons/create-declaration.ts
@@ -1,7 +1,7 @@
 import {requireFreshness, type Declaration} from '@sapphirefall/decisions';
 import type {DeclarationFile} from '@sapphirefall/settings';
 
-/** Creates a declaration from its checked file. */
+/** Creates a declaration from a validated declaration file. Absent sections stay absent. */
 export function createDeclaration({
 	workspaces, keys, freshness, exceptions, routes,
 }: DeclarationFile): Declaration {
--- a/daemons/describe-configuration-entries.ts
+++ b/daemons/describe-configuration-entries.ts
@@ -1,15 +1,15 @@
 import {formatFreshness, type Declaration} from '@sapphirefall/decisions';
 
-type Parts = Omit<Declaration, 'keys'> & {
+type Sections = Omit<Declaration, 'keys'> & {
 	/** Workspace of each key. */
 	readonly keys?: Readonly<Record<string, string>>;
 };
 
-/** Describes each part of a configuration by its name, so that two configurations can be compared; digests are left out. */
-export function describeConfigurationEntries(parts: Parts): Readonly<Record<string, string>> {
+/** Describes each entry of a configuration as text, by name, so that two configurations can be compared. Leaves out key digests. */
+export function describeConfigurationEntries(configuration: Sections): Readonly<Record<string, string>> {
 	const {
 		workspaces = {}, keys = {}, freshness = {}, exceptions = [], routes = {},
-	} = parts;
+	} = configuration;
 	return Object.fromEntries([
 		...Object.entries(workspaces).map(([name, {rate, burst, databases}]) =>
 			[`workspace ${name}`, `rate ${rate}, burst ${burst}, databases ${databases.join(', ')}`]),
--- a/daemons/main.ts
+++ b/daemons/main.ts
@@ -6,8 +6,8 @@
 const cli = createCommandLine();
 try {
 	cli.parse(process.argv, {run: false});
-	const isAsked = cli.options['help'] === true || cli.options['version'] === true;
-	if (cli.matchedCommand === undefined && !isAsked) {
+	const isHelpOrVersion = cli.options['help'] === true || cli.options['version'] === true;
+	if (cli.matchedCommand === undefined && !isHelpOrVersion) {
 		const [name] = cli.args;
 		throw new CommandError(resultCodes.usage, name === undefined
 			? 'A command must be given; --help lists them'
--- a/daemons/operator-options.ts
+++ b/daemons/operator-options.ts
@@ -1,10 +1,10 @@
-/** Options that every operator command takes. */
+/** Options of the commands that connect to a host. */
 export type OperatorOptions = {
-	/** URL of a host's operator address. */
+	/** URL of the operator interface of a host. */
 	readonly address?: string;
 	/** File that holds the operator token. */
 	readonly tokenFile?: string;
-	/** Version that the change is based on. */
+	/** Version that the change is based on; the host refuses the change when another one is in force. */
 	readonly basedOn?: number;
 	readonly json?: boolean;
 };
--- a/daemons/print-table.ts
+++ b/daemons/print-table.ts
@@ -1,8 +1,8 @@
 /**
- * Prints rows as columns of text, or as JSON.
+ * Prints rows as a table with aligned columns, or as a JSON array.
  *
- * @param rows Objects with the same properties.
- * @param isJson Whether a program reads the output.
+ * @param rows Rows with the same properties, which become the columns.
+ * @param isJson Whether to print JSON.
  */
 export function printTable(rows: ReadonlyArray<Readonly<Record<string, string | number>>>, isJson: boolean): void {
 	if (isJson) {
--- a/daemons/read-checked-file.ts
+++ b/daemons/read-checked-file.ts
@@ -5,11 +5,11 @@
 import {CommandError} from './command-error.ts';
 
 /**
- * Reads a YAML file and checks it against a schema.
+ * Reads a YAML file and validates it against a schema.
  *
  * @param file Path of the file.
- * @param schema What the file may hold.
- * @throws {CommandError} When the file cannot be read or has faults; the message lists all of them.
+ * @param schema Schema of the content.
+ * @throws {CommandError} When the file cannot be read or is invalid. The message lists all errors with their lines.
  */
 export function readCheckedFile<Schema extends z.ZodType>(file: string, schema: Schema): z.infer<Schema> {
 	const outcome = parseSettings(readText(file), schema);
--- a/daemons/require-option.ts
+++ b/daemons/require-option.ts
@@ -2,11 +2,11 @@
 import {CommandError} from './command-error.ts';
 
 /**
- * Requires an option or argument of the command line.
+ * Returns the value of a required option or argument.
  *
- * @param value Its value, if it was given.
- * @param name Its name, such as `--rate`.
- * @throws {CommandError} When it was not given.
+ * @param value Value, or `undefined` when it was not given.
+ * @param name Name for the error message, such as `--rate`.
+ * @throws {CommandError} When the value is `undefined`.
  */
 export function requireOption<T>(value: T | undefined, name: string): T {
 	if (value === undefined) {
--- a/daemons/run-apply.test.ts
+++ b/daemons/run-apply.test.ts
@@ -37,9 +37,9 @@
 	readonly title: string;
 	readonly text: string;
 	readonly options?: {readonly dryRun?: boolean; readonly basedOn?: number; readonly json?: boolean};
-	/** Lines printed, in order. */
+	/** Expected output lines, in order. */
 	readonly lines?: readonly string[];
-	/** Code of the error, and text that it holds. */
+	/** Code of the expected error, and texts that its message includes. */
 	readonly error?: {readonly code: number; readonly texts: readonly string[]};
 };
 
@@ -54,17 +54,17 @@
 
 const cases: readonly Case[] = [
 	{
-		title: 'a file with faults is refused with a line for each',
+		title: 'refuses an invalid file with a line for each error',
 		text: faulty,
 		error: {code: resultCodes.settingsInvalid, texts: [':3: workspaces.upper.rate', ':4: limits', ':6: freshness.report']},
 	},
 	{
-		title: 'a dry run shows what differs', text: declared, options: {dryRun: true}, lines: additions,
+		title: 'shows the differences in a dry run', text: declared, options: {dryRun: true}, lines: additions,
 	},
-	{title: 'the dry run has changed nothing, and applying makes it so in one change', text: declared, lines: [...additions, 'Configuration version 1 holds the change']},
-	{title: 'applied again, nothing differs', text: declared, lines: ['Nothing differs']},
+	{title: 'applies the declaration in one change; the dry run has changed nothing', text: declared, lines: [...additions, 'Configuration version 1 holds the change']},
+	{title: 'finds no differences when the declaration is applied again', text: declared, lines: ['Nothing differs']},
 	{
-		title: 'a section alone leaves the others',
+		title: 'leaves sections that the file does not declare unchanged',
 		text: 'workspaces:\n  upper: {rate: 60, burst: 100, databases: [pondbook]}\n  lower: {rate: 5, burst: 10, databases: [pondbook]}\n',
 		options: {basedOn: 1},
 		lines: [
@@ -73,13 +73,13 @@
 		],
 	},
 	{
-		title: 'based on a version that is over, it is refused and told what changed',
+		title: 'refuses a change that is based on an outdated version, and lists what changed since',
 		text: 'routes: {}\n',
 		options: {basedOn: 1},
 		error: {code: resultCodes.versionConflict, texts: ['changed since: 2: declaration of workspaces applied']},
 	},
 	{
-		title: 'for a program the differences come as JSON',
+		title: 'prints the differences as JSON',
 		text: 'routes: {}\n',
 		options: {dryRun: true, json: true},
 		lines: ['[{"kind":"removed","name":"route levels","before":"SELECT 1 in pondbook, within 60000ms, paid by upper","after":""}]'],
@@ -126,7 +126,7 @@
 	}
 });
 
-/** Runs a command, and returns what it printed and the error in which it ended. */
+/** Runs a command, and returns the lines that it printed and the command error that it threw. */
 async function runCaptured(command: () => Promise<void>): Promise<{readonly lines: readonly string[]; readonly error: CommandError | undefined}> {
 	const lines: string[] = [];
 	const {log} = console;
--- a/daemons/run-apply.ts
+++ b/daemons/run-apply.ts
@@ -13,22 +13,23 @@
 
 type Options = OperatorOptions & {readonly dryRun?: boolean};
 
-const marks: Readonly<Record<Difference['kind'], string>> = {added: '+', removed: '-', changed: '~'};
+const symbols: Readonly<Record<Difference['kind'], string>> = {added: '+', removed: '-', changed: '~'};
 
 /**
- * Runs `sapphirefall apply`: shows what differs between a declaration and the configuration in force, and makes
- * the declared sections so in one change.
+ * Runs `sapphirefall apply`: prints the differences between a declaration and the configuration in force, and replaces
+ * the declared sections in one change.
  *
- * The change is based on the version that was compared; it is refused when another came in between.
+ * The change is based on the version that was compared, or on `--based-on`. It is refused when another version is in
+ * force by then.
  *
- * @throws {CommandError} When the file has faults or the change was refused.
+ * @throws {CommandError} When the file is invalid or the change is refused.
  */
 export async function runApply(file: string, options: Options): Promise<void> {
 	const declared = createDeclaration(readCheckedFile(file, declarationSchema));
 	const known = await readKnownConfiguration(options);
 	const differences = listDifferences(
 		describeConfigurationEntries(selectSections(known, declared)),
-		describeConfigurationEntries({...declared, keys: listWorkspaces(declared.keys ?? {})}),
+		describeConfigurationEntries({...declared, keys: mapKeysToWorkspaces(declared.keys ?? {})}),
 	);
 	printDifferences(differences, options.json === true);
 	if (options.dryRun !== true && differences.length > 0) {
@@ -36,7 +37,7 @@
 	}
 }
 
-/** Selects the known sections that the declaration holds too. */
+/** Selects the sections of the known configuration that the declaration also contains. */
 function selectSections(
 	{
 		workspaces, keys, freshness, exceptions, routes,
@@ -52,7 +53,7 @@
 	};
 }
 
-function listWorkspaces(keys: NonNullable<Declaration['keys']>): Readonly<Record<string, string>> {
+function mapKeysToWorkspaces(keys: NonNullable<Declaration['keys']>): Readonly<Record<string, string>> {
 	return Object.fromEntries(Object.entries(keys).map(([keyId, {workspace}]) => [keyId, workspace]));
 }
 
@@ -66,7 +67,7 @@
 		kind, name, before, after,
 	} of differences) {
 		const content = [before, after].filter(text => text !== '').join(' -> ');
-		console.log(`${marks[kind]} ${name}: ${content}`);
+		console.log(`${symbols[kind]} ${name}: ${content}`);
 	}
 
 	if (differences.length === 0) {
--- a/daemons/run-freshness.ts
+++ b/daemons/run-freshness.ts
@@ -14,7 +14,7 @@
 	readonly reason?: string;
 };
 
-/** Runs `sapphirefall freshness`: sets the fleet-wide default of a kind of read, makes an exception, or lists both. */
+/** Runs `sapphirefall freshness`: sets the fleet-wide default for a kind of read, sets an exception for a workspace, or lists both. */
 export async function runFreshness(action: string, kind: string | undefined, options: Options): Promise<void> {
 	await chooseAction(action, {set: setFreshness, except: setException, list: listFreshness})(kind, options);
 }
--- a/daemons/run-key.ts
+++ b/daemons/run-key.ts
@@ -10,10 +10,10 @@
 
 type Options = OperatorOptions & {readonly workspace?: string};
 
-/** Bytes of a new key. */
+/** Number of random bytes in a new key. */
 const keyBytes = 24;
 
-/** Runs `sapphirefall key`: gives, withdraws or lists keys. A key is made and shown here; the fleet keeps its digest. */
+/** Runs `sapphirefall key`: creates, withdraws or lists keys. The key is generated and printed here; the fleet stores only its digest. */
 export async function runKey(action: string, name: string | undefined, options: Options): Promise<void> {
 	await chooseAction(action, {give: giveKey, withdraw: withdrawKey, list: listKeys})(name, options);
 }
--- a/daemons/run-limit.ts
+++ b/daemons/run-limit.ts
@@ -8,16 +8,16 @@
 
 type Options = OperatorOptions & {readonly rate?: number; readonly burst?: number};
 
-/** Runs `sapphirefall limit`: changes the rate, the burst or both of a workspace and leaves the rest. */
+/** Runs `sapphirefall limit`: changes the rate, the burst or both of a workspace and keeps its other values. */
 export async function runLimit(workspace: string, options: Options): Promise<void> {
 	const known = await readKnownConfiguration(options);
-	const old = known.workspaces[workspace];
-	if (old === undefined) {
+	const previous = known.workspaces[workspace];
+	if (previous === undefined) {
 		throw new CommandError(resultCodes.nameUnknown, `The workspace "${workspace}" does not exist`);
 	}
 
 	const value = create(SetWorkspaceSchema, {
-		workspace, rate: options.rate ?? old.rate, burst: options.burst ?? old.burst, databases: [...old.databases],
+		workspace, rate: options.rate ?? previous.rate, burst: options.burst ?? previous.burst, databases: [...previous.databases],
 	});
 	await sendChange({case: 'setWorkspace', value}, {...options, basedOn: options.basedOn ?? known.version});
 }
--- a/daemons/run-load-plan.ts
+++ b/daemons/run-load-plan.ts
@@ -10,9 +10,9 @@
 type Options = {readonly report?: string; readonly json?: boolean};
 
 /**
- * Runs `sapphirefall load`: sends the load of a plan, checks the answers, and reports.
+ * Runs `sapphirefall load`: sends the load of a plan, checks the answers, and prints the measurements.
  *
- * @throws {CommandError} When the plan has faults or an answer was wrong.
+ * @throws {CommandError} When the plan is invalid or an answer was wrong.
  */
 export async function runLoadPlan(file: string, options: Options): Promise<void> {
 	const plan = readCheckedFile(file, loadPlanSchema);
@@ -30,8 +30,8 @@
 		}));
 	}
 
-	const [wrong] = summary.violations;
-	if (wrong !== undefined) {
-		throw new CommandError(resultCodes.checkFailed, `Request ${wrong.request} got a wrong answer: ${wrong.kind}, ${wrong.detail}`);
+	const [violation] = summary.violations;
+	if (violation !== undefined) {
+		throw new CommandError(resultCodes.checkFailed, `Request ${violation.request} got a wrong answer: ${violation.kind}, ${violation.detail}`);
 	}
 }
--- a/daemons/run-route.ts
+++ b/daemons/run-route.ts
@@ -14,7 +14,7 @@
 	readonly freshness?: string;
 };
 
-/** Runs `sapphirefall route`: sets an open route, which runs one fixed statement without a key, or lists them. */
+/** Runs `sapphirefall route`: sets an open route, which runs a fixed statement for callers without a key, or lists the routes. */
 export async function runRoute(action: string, name: string | undefined, options: Options): Promise<void> {
 	await chooseAction(action, {set: setRoute, list: listRoutes})(name, options);
 }
--- a/daemons/run-serve.ts
+++ b/daemons/run-serve.ts
@@ -1,6 +1,6 @@
 import process from 'node:process';
 import {createServer, type RequestListener, type Server} from 'node:http';
-import {createServer as createServer2, type Http2Server, type ServerHttp2Session} from 'node:http2';
+import {createServer as createHttp2Server, type Http2Server, type ServerHttp2Session} from 'node:http2';
 import {randomUUID} from 'node:crypto';
 import {connectNodeAdapter} from '@connectrpc/connect-node';
 import bunyan from 'bunyan';
@@ -15,14 +15,14 @@
 import {CommandError} from './command-error.ts';
 import {readCheckedFile} from './read-checked-file.ts';
 
-/** Milliseconds between the end of draining and the closing of connections; answers are written out meanwhile. */
-const closingDelay = 100;
+/** Milliseconds between the end of draining and the closing of connections, in which the last answers are flushed. */
+const closeDelayMs = 100;
 
-/** Milliseconds for which a host that drains still serves what others forward, until they have heard of it. */
-const handoverDelay = 1500;
+/** Milliseconds for which a draining host still serves forwarded requests, until the other hosts know that it drains. */
+const handoverDelayMs = 1500;
 
 /**
- * Runs `sapphirefall serve`: one entry host, until a signal or an operator ends it.
+ * Runs `sapphirefall serve`: an entry host, until SIGTERM, SIGINT or an operator drains it.
  *
  * @param file Path of the settings file.
  */
@@ -31,9 +31,9 @@
 	const log = bunyan.createLogger({
 		name: 'sapphirefall', level: settings.log.level, host: settings.host.id, stream: process.stderr,
 	});
-	let askDrain: () => void = () => undefined;
-	const drainAsked = new Promise<void>(resolve => {
-		askDrain = resolve;
+	let requestDrain: () => void = () => undefined;
+	const drainRequested = new Promise<void>(resolve => {
+		requestDrain = resolve;
 	});
 	const host = startHost({
 		settings,
@@ -51,14 +51,14 @@
 		},
 		now: () => performance.now(),
 		wallNow: () => Date.now(),
-		onDrainAsked: askDrain,
+		onDrainAsked: requestDrain,
 	});
 	const listeners = await openListeners(settings, host);
-	log.info('host: The host serves.');
-	process.on('SIGTERM', askDrain);
-	process.on('SIGINT', askDrain);
-	await drainAsked;
-	await finish(settings, {host, listeners});
+	log.info('host: The host accepts requests.');
+	process.on('SIGTERM', requestDrain);
+	process.on('SIGINT', requestDrain);
+	await drainRequested;
+	await shutDown(settings, {host, listeners});
 }
 
 type Listener = {
@@ -77,14 +77,14 @@
 	});
 	const operators = createOperatorHandler(host.operators, settings.secrets.operatorDigest);
 	return Promise.all([
-		listen1(settings.listen.callers, callers),
-		listen2(settings.listen.hosts, hosts),
-		listen1(settings.listen.operators, operators),
-		...(settings.listen.streams === undefined ? [] : [listen2(settings.listen.streams, callers)]),
+		listenHttp1(settings.listen.callers, callers),
+		listenHttp2(settings.listen.hosts, hosts),
+		listenHttp1(settings.listen.operators, operators),
+		...(settings.listen.streams === undefined ? [] : [listenHttp2(settings.listen.streams, callers)]),
 	]);
 }
 
-async function listen1(address: string, handler: RequestListener): Promise<Listener> {
+async function listenHttp1(address: string, handler: RequestListener): Promise<Listener> {
 	const server = createServer(handler);
 	await listen(server, address);
 	return {
@@ -95,9 +95,9 @@
 	};
 }
 
-async function listen2(address: string, handler: Parameters<typeof createServer2>[1]): Promise<Listener> {
+async function listenHttp2(address: string, handler: Parameters<typeof createHttp2Server>[1]): Promise<Listener> {
 	const sessions = new Set<ServerHttp2Session>();
-	const server = createServer2(handler);
+	const server = createHttp2Server(handler);
 	server.on('session', session => {
 		sessions.add(session);
 		session.on('close', () => sessions.delete(session));
@@ -123,17 +123,17 @@
 	});
 }
 
-/** Finishes the requests that run, then closes the listeners and the connections. */
-async function finish(
+/** Waits for running requests, at most for the drain timeout, then closes the listeners and the connections and exits. */
+async function shutDown(
 	settings: HostFile,
 	running: {readonly host: RunningHost; readonly listeners: readonly Listener[]},
 ): Promise<void> {
-	await Promise.race([drainTwice(running.host), wait(settings.drain.timeout)]);
+	await Promise.race([drainWithForwarded(running.host), wait(settings.drain.timeout)]);
 	for (const {server} of running.listeners) {
 		server.close();
 	}
 
-	await wait(closingDelay);
+	await wait(closeDelayMs);
 	for (const {destroyConnections} of running.listeners) {
 		destroyConnections();
 	}
@@ -141,14 +141,14 @@
 	running.host.stop();
 	process.exitCode = resultCodes.done;
 	setImmediate(() => {
-		process.exit(); // eslint-disable-line unicorn/no-process-exit -- timers of client libraries would hold the process
+		process.exit(); // eslint-disable-line unicorn/no-process-exit -- timers of client libraries would keep the process alive
 	});
 }
 
-/** Drains, waits until other hosts have heard of it, and lets what they sent meanwhile finish. */
-async function drainTwice(host: RunningHost): Promise<void> {
+/** Drains, waits until other hosts know that this one drains, and drains the requests that they forwarded meanwhile. */
+async function drainWithForwarded(host: RunningHost): Promise<void> {
 	await host.drain();
-	await wait(handoverDelay);
+	await wait(handoverDelayMs);
 	await host.drain();
 }
 
--- a/daemons/run-status.ts
+++ b/daemons/run-status.ts
@@ -2,7 +2,7 @@
 import {printTable} from './print-table.ts';
 import type {OperatorOptions} from './operator-options.ts';
 
-/** Runs `sapphirefall status`: what one host knows of itself, the databases and the other hosts. */
+/** Runs `sapphirefall status`: prints the state of a host, and its view of the databases and the other hosts. */
 export async function runStatus(options: OperatorOptions): Promise<void> {
 	const status = await connectOperator(options, async client => client.status({}));
 	const databases = status.groups.map(({database, term, primary, instances}) => ({
--- a/daemons/run-timeline.ts
+++ b/daemons/run-timeline.ts
@@ -9,10 +9,10 @@
 type Options = EventFilter & {readonly json?: boolean};
 
 /**
- * Runs `sapphirefall timeline`: merges the events of all processes into one order.
+ * Runs `sapphirefall timeline`: merges the events of several processes into one timeline and prints it.
  *
- * @param sources Files of events, or URLs of hosts' operator addresses, whose `/events` is read.
- * @param options Which events to show.
+ * @param sources Paths of event files, or URLs of the operator interfaces of hosts, whose `/events` is read.
+ * @param options Filter of the events, and the output format.
  */
 export async function runTimeline(sources: readonly string[], options: Options): Promise<void> {
 	const texts = await Promise.all(sources.map(async source => readSource(source)));
--- a/daemons/send-change.ts
+++ b/daemons/send-change.ts
@@ -6,11 +6,11 @@
 import type {OperatorOptions} from './operator-options.ts';
 
 /**
- * Sends a change to a host and prints the version that holds it.
+ * Sends a change to a host and prints the configuration version that contains it.
  *
  * @param change The change.
- * @param options How to reach the host, and the version that the change is based on.
- * @throws {CommandError} When the change was refused.
+ * @param options Address and token of the host, and the version that the change is based on.
+ * @throws {CommandError} When the change is refused or the host does not answer.
  */
 export async function sendChange(change: ChangeRequest['change'], options: OperatorOptions): Promise<void> {
 	const request = {changeId: randomUUID(), basedOn: options.basedOn ?? 0, change};
--- a/packages/load/check-history.ts
+++ b/packages/load/check-history.ts
@@ -4,10 +4,10 @@
 import type {Violation} from './violation.ts';
 
 /**
- * Checks what came back against what the databases hold and what each request was promised.
+ * Checks the answers of a load against the rows in the databases and the freshness that each read asked for.
  *
- * Finds lost and doubled writes, "not run" writes that ran, foreign answers, reads older than they accept, and
- * sessions that missed their own writes.
+ * Finds lost and duplicate writes, writes that ran although reported as not run, answers of other requests, reads
+ * that are staler than they accept, and sessions that did not read their own writes.
  */
 export function checkHistory(plan: LoadPlan, history: LoadHistory): readonly Violation[] {
 	const writes = history.outcomes.filter(({request}) => request.class === 'write');
@@ -62,15 +62,15 @@
 				: [];
 		}
 
-		const since = request.class === 'latest' ? sentAt : sentAt - options.age;
-		const least = countBefore(options.acknowledged, since);
-		return observed.rows < least
-			? [{kind: 'stale', request: request.id, detail: `${observed.rows} rows, and ${least} were acknowledged in time`}]
+		const freshAsOf = request.class === 'latest' ? sentAt : sentAt - options.age;
+		const expectedRows = countBefore(options.acknowledged, freshAsOf);
+		return observed.rows < expectedRows
+			? [{kind: 'stale', request: request.id, detail: `${observed.rows} rows, and ${expectedRows} were acknowledged in time`}]
 			: [];
 	});
 }
 
-/** Counts the times in an ascending list that are before a time. */
+/** Counts the times before a given time in an ascending list, by binary search. */
 function countBefore(times: readonly number[], before: number): number {
 	let low = 0;
 	let high = times.length;
--- a/packages/load/create-report.ts
+++ b/packages/load/create-report.ts
@@ -14,7 +14,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Creates a page of its own with the measures of a load and its plots over time. */
+/** Creates a self-contained HTML page with the measurements of a load and plots over time. */
 export async function createReport(options: Options): Promise<string> {
 	const plots = await Promise.all([
 		drawPlot(createLatencyPlot(options)),
@@ -44,14 +44,14 @@
 	return view.toSVG();
 }
 
-const size = {width: 800, height: 180};
+const plotSize = {width: 800, height: 180};
 
 function createLatencyPlot({history}: Options): TopLevelSpec {
 	const values = history.outcomes
 		.filter(({kind}) => kind === 'done')
 		.map(({request, answeredAt}) => ({second: request.scheduledAt / millisecondsPerSecond, latency: Math.max(0.1, answeredAt - request.scheduledAt), class: request.class}));
 	return {
-		...size,
+		...plotSize,
 		title: 'Latency by class',
 		data: {values},
 		mark: {type: 'point', size: 6},
@@ -68,7 +68,7 @@
 function createAnswerPlot({history}: Options): TopLevelSpec {
 	const values = history.outcomes.map(({request, kind}) => ({second: request.scheduledAt / millisecondsPerSecond, answer: kind}));
 	return {
-		...size,
+		...plotSize,
 		title: 'Answers a second',
 		data: {values},
 		mark: 'bar',
@@ -85,7 +85,7 @@
 function createFaultPlot({faults}: Options): TopLevelSpec {
 	const values = faults.map(({title, from, to}) => ({title, from: from / millisecondsPerSecond, to: to / millisecondsPerSecond}));
 	return {
-		...size,
+		...plotSize,
 		title: 'Faults',
 		data: {values},
 		mark: 'bar',
--- a/packages/load/create-schedule.ts
+++ b/packages/load/create-schedule.ts
@@ -8,9 +8,9 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Creates the schedule of a plan: Poisson arrivals for each workspace, fixed by the seed before the first request.
+ * Creates the schedule of a plan: Poisson arrivals for each workspace, determined by the seed before the first request.
  *
- * A slow answer delays no later request, so it cannot hide the wait of those behind it.
+ * The load is open-loop: a slow answer does not delay later requests, which avoids coordinated omission.
  */
 export function createSchedule(plan: LoadPlan): readonly ScheduledRequest[] {
 	const generator = xoroshiro128plus(plan.seed);
--- a/packages/load/fault-interval.ts
+++ b/packages/load/fault-interval.ts
@@ -1,4 +1,4 @@
-/** A fault that was in force for a part of a load, in milliseconds from its start. */
+/** A fault and the interval for which it was injected, in milliseconds from the start of the load. */
 export type FaultInterval = {
 	readonly title: string;
 	readonly from: number;
--- a/packages/load/format-summary.ts
+++ b/packages/load/format-summary.ts
@@ -3,15 +3,15 @@
 
 const percent = 100;
 
-/** Formats the measures of a load as text. */
+/** Formats the measurements of a load as text. */
 export function formatSummary(summary: LoadSummary): string {
-	const share = (value: number) => `${(value * percent).toFixed(2)} %`;
+	const formatShare = (value: number) => `${(value * percent).toFixed(2)} %`;
 	return [
 		`requests            ${summary.requests}, done ${summary.done}`,
-		`reads by replicas   ${share(summary.replicaShare)}`,
+		`reads by replicas   ${formatShare(summary.replicaShare)}`,
 		`longest write gap   ${summary.writeGapMs.toFixed(0)} ms`,
-		`worst workspace     ${summary.worstWorkspaceName}, ${share(summary.worstWorkspace)} of its due`,
-		`wrongful refusals   ${share(summary.wrongfulRefusals)}`,
+		`worst workspace     ${summary.worstWorkspaceName}, ${formatShare(summary.worstWorkspace)} of its due`,
+		`wrongful refusals   ${formatShare(summary.wrongfulRefusals)}`,
 		...loadClasses.map(name => {
 			const {p50, p99, max} = summary.latency[name];
 			return `latency ${name.padEnd(11)} p50 ${p50.toFixed(1)}, p99 ${p99.toFixed(1)}, max ${max.toFixed(1)} ms`;
--- a/packages/load/load-class.ts
+++ b/packages/load/load-class.ts
@@ -1,4 +1,4 @@
 import type {loadClasses} from './load-classes.ts';
 
-/** One of the classes of requests. */
+/** A class of requests. */
 export type LoadClass = typeof loadClasses[number];
--- a/packages/load/load-history.ts
+++ b/packages/load/load-history.ts
@@ -1,8 +1,8 @@
 import type {RequestOutcome} from './request-outcome.ts';
 
-/** A load that has ended: what came back, and what the databases hold afterwards. */
+/** History of a finished load: the outcomes of its requests, and the rows in the databases afterwards. */
 export type LoadHistory = {
 	readonly outcomes: readonly RequestOutcome[];
-	/** How often each request's row is in its database. */
+	/** Number of rows that each write left in its database, by request id. */
 	readonly rows: ReadonlyMap<string, number>;
 };
--- a/packages/load/mod.ts
+++ b/packages/load/mod.ts
@@ -1,4 +1,4 @@
-/** The load and experiment tool: open-loop load, checks of what came back, and reports. */
+/** Load generator: sends an open-loop load, checks the answers, and reports the measurements. */
 export * from './check-history.ts';
 export * from './create-report.ts';
 export * from './create-schedule.ts';
--- a/packages/load/request-outcome.ts
+++ b/packages/load/request-outcome.ts
@@ -1,18 +1,18 @@
 import type {ScheduledRequest} from './scheduled-request.ts';
 
-/** What came back of one request. Times are milliseconds from the start of the load. */
+/** Outcome of a request. Times are in milliseconds from the start of the load. */
 export type RequestOutcome = {
 	readonly request: ScheduledRequest;
 	readonly sentAt: number;
 	readonly answeredAt: number;
-	/** `failed`: no answer came from the host. */
+	/** `failed` means that no valid answer came from the host. */
 	readonly kind: 'done' | 'notRun' | 'unknown' | 'failed';
 	readonly code: number;
 	readonly instance: string;
-	/** Highest number of the session's writes that the session had seen acknowledged when it sent a read. */
+	/** Highest number of an acknowledged write of the session when the request was sent. */
 	readonly lastAcknowledgedWrite: number;
-	/** Number that a write gave itself within its session; 0 for reads. */
+	/** Sequence number of a write within its session, from 1; 0 for reads. */
 	readonly writeNumber: number;
-	/** For reads: the request's own id as it came back, the session's highest write, and the workspace's rows. */
+	/** For reads: the request id in the answer, the session's highest write in the database, and the workspace's row count. */
 	readonly observed: {readonly id: string; readonly lastWrite: number; readonly rows: number} | undefined;
 };
--- a/packages/load/run-load.ts
+++ b/packages/load/run-load.ts
@@ -12,24 +12,27 @@
 import type {ScheduledRequest} from './scheduled-request.ts';
 
 type Options = {
-	/** Present monotonic milliseconds. */
+	/** Returns the present time in monotonic milliseconds. */
 	readonly now: () => number;
-	/** Told now and then how many requests have been sent and answered. */
+	/** Called about once a second, and at the end, with the number of requests sent and answered. */
 	readonly onProgress: (sent: number, answered: number) => void;
 };
 
-/** One session: its token, and how many of its writes it has sent and seen acknowledged. */
+/** State of a session of the load. */
 type Session = {
+	/** Session token from the answer to the last acknowledged write. */
 	token: string;
+	/** Number of writes sent. */
 	sentWrites: number;
+	/** Highest number of an acknowledged write. */
 	lastAcknowledgedWrite: number;
 };
 
-/** Milliseconds between two reports of progress. */
-const progressInterval = 1000;
+/** Milliseconds between two progress reports. */
+const progressIntervalMs = 1000;
 
-/** Milliseconds for which preparing and verifying a database may be tried again. */
-const settleTimeout = 15_000;
+/** Milliseconds for which creating the table or reading the rows of a database is retried. */
+const retryTimeoutMs = 15_000;
 
 const createTable: SqlStatement = {
 	sql: 'CREATE TABLE IF NOT EXISTS load_row (id TEXT NOT NULL, workspace TEXT NOT NULL, session INTEGER NOT NULL, write INTEGER NOT NULL)',
@@ -37,10 +40,10 @@
 };
 
 /**
- * Runs a load: sends each request at its time and notes what comes back, then reads what the databases hold.
+ * Runs a load: sends each request at its scheduled time, records the outcomes, then reads the rows from the databases.
  *
  * @param plan The plan.
- * @param options The clock, and what to do with progress.
+ * @param options The clock, and the callback for progress.
  * @throws {Error} When the databases cannot be prepared or read afterwards.
  */
 export async function runLoad(plan: LoadPlan, options: Options): Promise<LoadHistory> {
@@ -54,7 +57,7 @@
 	const running: Array<Promise<void>> = [];
 	let reportedAt = 0;
 
-	const run = async (request: ScheduledRequest) => {
+	const runRequest = async (request: ScheduledRequest) => {
 		const client = clients.get(request.workspace)?.[request.targetIndex];
 		const name = `${request.workspace}/${request.session}`;
 		const session = sessions.get(name) ?? {token: '', sentWrites: 0, lastAcknowledgedWrite: 0};
@@ -69,11 +72,11 @@
 	for (const request of createSchedule(plan)) {
 		const pause = request.scheduledAt - elapsed();
 		if (pause > 0) {
-			await sleep(pause); // eslint-disable-line no-await-in-loop -- the schedule sets the times
+			await sleep(pause); // eslint-disable-line no-await-in-loop -- requests are sent at their scheduled times
 		}
 
-		running.push(run(request));
-		if (elapsed() - reportedAt >= progressInterval) {
+		running.push(runRequest(request));
+		if (elapsed() - reportedAt >= progressIntervalMs) {
 			reportedAt = elapsed();
 			options.onProgress(running.length, outcomes.length);
 		}
@@ -113,7 +116,7 @@
 			requestId: request.id,
 			database: plan.workspaces.find(({name}) => name === request.workspace)?.database ?? '',
 			statements: [encodeStatement(isWrite ? createInsert(request, write) : createSelect(plan, request))],
-			kind: createKind(plan, request),
+			kind: createRequestKind(plan, request),
 			session: session.token,
 			deadlineMs: plan.deadline,
 		});
@@ -145,15 +148,15 @@
 }
 
 function createSelect(plan: LoadPlan, request: ScheduledRequest): SqlStatement {
-	const own = `${plan.seed}-%`;
+	const idPattern = `${plan.seed}-%`;
 	return {
 		sql: 'SELECT ?, (SELECT coalesce(max(write), 0) FROM load_row WHERE id LIKE ? AND workspace = ? AND session = ?), '
 			+ '(SELECT count(*) FROM load_row WHERE id LIKE ? AND workspace = ?)',
-		parameters: [request.id, own, request.workspace, request.session, own, request.workspace],
+		parameters: [request.id, idPattern, request.workspace, request.session, idPattern, request.workspace],
 	};
 }
 
-function createKind(plan: LoadPlan, request: ScheduledRequest) {
+function createRequestKind(plan: LoadPlan, request: ScheduledRequest) {
 	if (request.class === 'write') {
 		return {case: 'write' as const, value: {idempotencyKey: `load-${request.id}`, repeatable: false}};
 	}
@@ -185,14 +188,14 @@
 
 type Clients = ReadonlyMap<string, readonly Caller[]>;
 
-/** Lists one workspace for each database, to prepare and read it through. */
-function listOwners(plan: LoadPlan): ReadonlyArray<LoadPlan['workspaces'][number]> {
+/** Lists one workspace for each database, whose key is used to create the table and to read the rows. */
+function listDatabaseWorkspaces(plan: LoadPlan): ReadonlyArray<LoadPlan['workspaces'][number]> {
 	return [...new Map(plan.workspaces.map(workspace => [workspace.database, workspace])).values()];
 }
 
 async function prepareDatabases(plan: LoadPlan, clients: Clients): Promise<void> {
-	for (const {name, database} of listOwners(plan)) {
-		// eslint-disable-next-line no-await-in-loop -- one database after the other
+	for (const {name, database} of listDatabaseWorkspaces(plan)) {
+		// eslint-disable-next-line no-await-in-loop -- one database after another
 		await executeUntilDone(clients.get(name) ?? [], {
 			database,
 			statements: [encodeStatement(createTable)],
@@ -206,8 +209,8 @@
 	{clients, seed}: {readonly clients: Clients; readonly seed: number},
 ): Promise<ReadonlyMap<string, number>> {
 	const rows = new Map<string, number>();
-	for (const {name, database} of listOwners(plan)) {
-		// eslint-disable-next-line no-await-in-loop -- one database after the other
+	for (const {name, database} of listDatabaseWorkspaces(plan)) {
+		// eslint-disable-next-line no-await-in-loop -- one database after another
 		const response = await executeUntilDone(clients.get(name) ?? [], {
 			database,
 			statements: [encodeStatement({
@@ -224,20 +227,20 @@
 	return rows;
 }
 
-/** Executes a request at one target after the other until one has done it. */
+/** Sends a request to one target after another until one answers `done`. */
 async function executeUntilDone(
 	callers: readonly Caller[],
 	request: Parameters<Caller['execute']>[0],
 ): Promise<ExecuteResponse> {
-	const deadline = performance.now() + settleTimeout;
-	for (let count = 0; performance.now() < deadline; count++) {
+	const deadline = performance.now() + retryTimeoutMs;
+	for (let attempt = 0; performance.now() < deadline; attempt++) {
 		try {
-			const response = await callers[count % callers.length]?.execute(request); // eslint-disable-line no-await-in-loop
+			const response = await callers[attempt % callers.length]?.execute(request); // eslint-disable-line no-await-in-loop
 			if (response?.answer.case === 'done') {
 				return response;
 			}
 		} catch {
-			// The next target may be reachable.
+			// Retries at the next target, which may be reachable.
 		}
 
 		await sleep(50); // eslint-disable-line no-await-in-loop
--- a/packages/load/scheduled-request.ts
+++ b/packages/load/scheduled-request.ts
@@ -1,6 +1,6 @@
 import type {LoadClass} from './load-class.ts';
 
-/** One request of a schedule. */
+/** A request of a schedule. */
 export type ScheduledRequest = {
 	readonly id: string;
 	/** Milliseconds from the start of the load. */
@@ -9,6 +9,6 @@
 	/** Number of the session within the workspace. */
 	readonly session: number;
 	readonly class: LoadClass;
-	/** Place of the host in the plan's targets. */
+	/** Index of the host in the targets of the plan. */
 	readonly targetIndex: number;
 };
--- a/packages/load/summarize-load.ts
+++ b/packages/load/summarize-load.ts
@@ -7,14 +7,14 @@
 import type {LoadSummary} from './load-summary.ts';
 import type {RequestOutcome} from './request-outcome.ts';
 
-/** Histograms count in tenths of a millisecond. */
+/** Resolution of the latency histograms, which store integers: tenths of a millisecond. */
 const unitsPerMillisecond = 10;
 
 const millisecondsPerSecond = 1000;
-const middle = 50;
-const high = 99;
+const medianPercentile = 50;
+const tailPercentile = 99;
 
-/** Summarizes a load: the users' measures, latencies, codes, and every wrong answer. */
+/** Summarizes a load: shares, write gap, latencies, result codes and violations. */
 export function summarizeLoad(plan: LoadPlan, history: LoadHistory): LoadSummary {
 	const {outcomes} = history;
 	const wrongful = findWrongfulRefusals(plan, outcomes);
@@ -58,7 +58,7 @@
 	return reads === 0 ? 0 : fromReplicas / reads;
 }
 
-/** Finds the longest time for which a write waited and none was acknowledged, over all databases. */
+/** Finds the longest time, over all databases, for which writes were pending and none was acknowledged. */
 function findWriteGap(plan: LoadPlan, outcomes: readonly RequestOutcome[]): number {
 	const databases = new Set(plan.workspaces.map(({database}) => database));
 	const gaps = [...databases].map(database => {
@@ -78,7 +78,7 @@
 	return Math.max(0, ...waits);
 }
 
-/** Finds the share done of what each workspace offered, or of its rate where it offered more. */
+/** Finds the cost of the requests done for each workspace, relative to the cost that it offered within its rate and burst. */
 function findShares(plan: LoadPlan, outcomes: readonly RequestOutcome[]) {
 	return plan.workspaces.map(({name, rate, burst}) => {
 		const own = outcomes.filter(({request}) => request.workspace === name);
@@ -107,8 +107,8 @@
 	}
 
 	return {
-		p50: histogram.getValueAtPercentile(middle) / unitsPerMillisecond,
-		p99: histogram.getValueAtPercentile(high) / unitsPerMillisecond,
+		p50: histogram.getValueAtPercentile(medianPercentile) / unitsPerMillisecond,
+		p99: histogram.getValueAtPercentile(tailPercentile) / unitsPerMillisecond,
 		max: histogram.maxValue / unitsPerMillisecond,
 	};
 }
