--- a/packages/endpoints/create-connection-pool.ts
+++ b/packages/endpoints/create-connection-pool.ts
@@ -10,7 +10,7 @@
 	/** Number of connections to keep open. */
 	readonly size: number;
 	/** Milliseconds to wait before a closed connection is replaced or a failed attempt is repeated. */
-	readonly retryDelay: number;
+	readonly retryDelayMs: number;
 	/** Returns the present time in monotonic milliseconds. */
 	readonly now: () => number;
 };
@@ -68,7 +68,7 @@
 					idle.splice(index, 1);
 				}
 
-				schedule(options.retryDelay, () => {
+				schedule(options.retryDelayMs, () => {
 					void openNext();
 				});
 			});
--- a/packages/load/run-load.ts
+++ b/packages/load/run-load.ts
@@ -20,7 +20,7 @@
 
 /** State of a session of the load. */
 type Session = {
-	/** Session token from the answer to the last acknowledged write. */
+	/** Session token from the answer to the acknowledged write with the highest number. */
 	token: string;
 	/** Number of writes sent. */
 	sentWrites: number;
--- a/packages/platform/commit-change.ts
+++ b/packages/platform/commit-change.ts
@@ -27,7 +27,7 @@
 	readonly configuration: Configuration;
 };
 
-/** Maximum number of attempts when concurrent changes win the compare-and-set or answers are lost. */
+/** Maximum number of attempts. A change that is based on no version is retried when a concurrent change is committed first. */
 const maxAttempts = 8;
 
 /** Number of changes kept in the row, to tell an operator with an outdated version what changed since. */
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -111,7 +111,7 @@
 		const pool = createConnectionPool({
 			open: async onClosed => openConnection(link.address, {...options.settings, now: options.now, onClosed}),
 			size: use === 'gateway' ? options.settings.connections : options.settings.directConnections,
-			retryDelay: options.settings.reconnectDelay,
+			retryDelayMs: options.settings.reconnectDelay,
 			now: options.now,
 		});
 		link.pools.set(use, {pool, usedAt: options.now()});
