--- a/daemons/run-timeline.ts
+++ b/daemons/run-timeline.ts
@@ -2,17 +2,17 @@
 import process from 'node:process';
 import {resultCodes} from '@sapphirefall/decisions';
 import {
-	formatEvent, formatTimeLine, mergeTimeLine, parseEvent, type EventFilter,
+	formatEvent, formatTimeline, mergeTimeline, parseEvent, type EventFilter,
 } from '@sapphirefall/events';
 import {CommandError} from './command-error.ts';
 
 type Options = EventFilter & {readonly json?: boolean};
 
 /**
- * Runs `sapphirefall timeline`: merges the events of all processes into one order.
+ * Runs `sapphirefall timeline`: merges the events of several processes into one timeline and prints it.
  *
- * @param sources Files of events, or URLs of hosts' operator addresses, whose `/events` is read.
- * @param options Which events to show.
+ * @param sources Paths of event files, or URLs of the operator interfaces of hosts, whose `/events` is read.
+ * @param options Filter of the events, and the output format.
  */
 export async function runTimeline(sources: readonly string[], options: Options): Promise<void> {
 	const texts = await Promise.all(sources.map(async source => readSource(source)));
@@ -20,10 +20,10 @@
 		.flatMap(text => text.split('\n'))
 		.map(line => parseEvent(line))
 		.filter(event => event !== undefined);
-	const merged = mergeTimeLine(events, options);
+	const merged = mergeTimeline(events, options);
 	console.log(options.json === true
 		? merged.map(event => formatEvent(event)).join('\n')
-		: formatTimeLine(merged));
+		: formatTimeline(merged));
 }
 
 async function readSource(source: string): Promise<string> {
--- a/packages/events/merge-time-line.ts
+++ b/packages/events/merge-timeline.ts
@@ -5,9 +5,9 @@
 /**
  * Merges the events of all processes into one order: by hybrid logical time, then by process.
  *
- * An event that led to another in a different process comes before it.
+ * An event that caused an event in another process precedes it.
  */
-export function mergeTimeLine(events: readonly ProcessEvent[], filter: EventFilter): readonly ProcessEvent[] {
+export function mergeTimeline(events: readonly ProcessEvent[], filter: EventFilter): readonly ProcessEvent[] {
 	return events
 		.filter(event => matchesFilter(event, filter))
 		.toSorted((a, b) => (a.time === b.time ? compareText(a.process, b.process) : Number(a.time - b.time)));
--- a/packages/events/times-per-millisecond.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Hybrid logical times in one millisecond. */
-export const timesPerMillisecond = 65_536n;
--- a/packages/load/check-history.ts
+++ b/packages/load/check-history.ts
@@ -1,17 +1,17 @@
 import type {LoadHistory} from './load-history.ts';
 import type {LoadPlan} from './load-plan.ts';
-import type {Outcome} from './outcome.ts';
+import type {RequestOutcome} from './request-outcome.ts';
 import type {Violation} from './violation.ts';
 
 /**
- * Checks what came back against what the databases hold and what each request was promised.
+ * Checks the answers of a load against the rows in the databases and the freshness that each read asked for.
  *
- * Finds lost and doubled writes, "not run" writes that ran, foreign answers, reads older than they accept, and
- * sessions that missed their own writes.
+ * Finds lost and duplicate writes, writes that ran although reported as not run, answers of other requests, reads
+ * that are staler than they accept, and sessions that did not read their own writes.
  */
 export function checkHistory(plan: LoadPlan, history: LoadHistory): readonly Violation[] {
 	const writes = history.outcomes.filter(({request}) => request.class === 'write');
-	const reads = history.outcomes.filter(outcome => outcome.seen !== undefined);
+	const reads = history.outcomes.filter(outcome => outcome.observed !== undefined);
 	return [
 		...writes.flatMap(outcome => checkWrite(outcome, history.rows.get(outcome.request.id) ?? 0)),
 		...plan.workspaces.flatMap(workspace => checkReads(
@@ -27,7 +27,7 @@
 	];
 }
 
-function checkWrite({request, kind}: Outcome, rows: number): readonly Violation[] {
+function checkWrite({request, kind}: RequestOutcome, rows: number): readonly Violation[] {
 	if (rows > 1) {
 		return [{kind: 'doubled', request: request.id, detail: `${rows} rows`}];
 	}
@@ -42,35 +42,35 @@
 }
 
 function checkReads(
-	reads: readonly Outcome[],
+	reads: readonly RequestOutcome[],
 	options: {readonly acknowledged: readonly number[]; readonly age: number},
 ): readonly Violation[] {
 	return reads.flatMap(({
-		request, sentAt, seen, knownWrite,
+		request, sentAt, observed, lastAcknowledgedWrite,
 	}): readonly Violation[] => {
-		if (seen === undefined) {
+		if (observed === undefined) {
 			return [];
 		}
 
-		if (seen.id !== request.id) {
-			return [{kind: 'foreign', request: request.id, detail: `the answer is that of ${seen.id}`}];
+		if (observed.id !== request.id) {
+			return [{kind: 'foreign', request: request.id, detail: `the answer is that of ${observed.id}`}];
 		}
 
 		if (request.class === 'session') {
-			return seen.write < knownWrite
-				? [{kind: 'unreadWrite', request: request.id, detail: `write ${knownWrite} of the session is missing`}]
+			return observed.lastWrite < lastAcknowledgedWrite
+				? [{kind: 'unreadWrite', request: request.id, detail: `write ${lastAcknowledgedWrite} of the session is missing`}]
 				: [];
 		}
 
-		const since = request.class === 'latest' ? sentAt : sentAt - options.age;
-		const least = countBefore(options.acknowledged, since);
-		return seen.rows < least
-			? [{kind: 'stale', request: request.id, detail: `${seen.rows} rows, and ${least} were acknowledged in time`}]
+		const freshAsOf = request.class === 'latest' ? sentAt : sentAt - options.age;
+		const expectedRows = countBefore(options.acknowledged, freshAsOf);
+		return observed.rows < expectedRows
+			? [{kind: 'stale', request: request.id, detail: `${observed.rows} rows, and ${expectedRows} were acknowledged in time`}]
 			: [];
 	});
 }
 
-/** Counts the times in an ascending list that are before a time. */
+/** Counts the times before a given time in an ascending list, by binary search. */
 function countBefore(times: readonly number[], before: number): number {
 	let low = 0;
 	let high = times.length;
--- a/packages/load/create-report.ts
+++ b/packages/load/create-report.ts
@@ -1,7 +1,7 @@
 import {parse, View} from 'vega';
 import {compile, type TopLevelSpec} from 'vega-lite';
 import {formatSummary} from './format-summary.ts';
-import type {FaultLane} from './fault-lane.ts';
+import type {FaultInterval} from './fault-interval.ts';
 import type {LoadHistory} from './load-history.ts';
 import type {LoadSummary} from './load-summary.ts';
 
@@ -9,17 +9,17 @@
 	readonly title: string;
 	readonly history: LoadHistory;
 	readonly summary: LoadSummary;
-	readonly lanes: readonly FaultLane[];
+	readonly faults: readonly FaultInterval[];
 };
 
 const millisecondsPerSecond = 1000;
 
-/** Creates a page of its own with the measures of a load and its plots over time. */
+/** Creates a self-contained HTML page with the measurements of a load and plots over time. */
 export async function createReport(options: Options): Promise<string> {
 	const plots = await Promise.all([
 		drawPlot(createLatencyPlot(options)),
 		drawPlot(createAnswerPlot(options)),
-		drawPlot(createLanePlot(options)),
+		drawPlot(createFaultPlot(options)),
 	]);
 	return [
 		'<!doctype html>',
@@ -44,14 +44,14 @@
 	return view.toSVG();
 }
 
-const size = {width: 800, height: 180};
+const plotSize = {width: 800, height: 180};
 
 function createLatencyPlot({history}: Options): TopLevelSpec {
 	const values = history.outcomes
 		.filter(({kind}) => kind === 'done')
-		.map(({request, answeredAt}) => ({second: request.at / millisecondsPerSecond, latency: Math.max(0.1, answeredAt - request.at), class: request.class}));
+		.map(({request, answeredAt}) => ({second: request.scheduledAt / millisecondsPerSecond, latency: Math.max(0.1, answeredAt - request.scheduledAt), class: request.class}));
 	return {
-		...size,
+		...plotSize,
 		title: 'Latency by class',
 		data: {values},
 		mark: {type: 'point', size: 6},
@@ -66,9 +66,9 @@
 }
 
 function createAnswerPlot({history}: Options): TopLevelSpec {
-	const values = history.outcomes.map(({request, kind}) => ({second: request.at / millisecondsPerSecond, answer: kind}));
+	const values = history.outcomes.map(({request, kind}) => ({second: request.scheduledAt / millisecondsPerSecond, answer: kind}));
 	return {
-		...size,
+		...plotSize,
 		title: 'Answers a second',
 		data: {values},
 		mark: 'bar',
@@ -82,10 +82,10 @@
 	};
 }
 
-function createLanePlot({lanes}: Options): TopLevelSpec {
-	const values = lanes.map(({title, from, to}) => ({title, from: from / millisecondsPerSecond, to: to / millisecondsPerSecond}));
+function createFaultPlot({faults}: Options): TopLevelSpec {
+	const values = faults.map(({title, from, to}) => ({title, from: from / millisecondsPerSecond, to: to / millisecondsPerSecond}));
 	return {
-		...size,
+		...plotSize,
 		title: 'Faults',
 		data: {values},
 		mark: 'bar',
--- a/packages/load/create-schedule.ts
+++ b/packages/load/create-schedule.ts
@@ -8,16 +8,16 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Creates the schedule of a plan: Poisson arrivals for each workspace, fixed by the seed before the first request.
+ * Creates the schedule of a plan: Poisson arrivals for each workspace, determined by the seed before the first request.
  *
- * A slow answer delays no later request, so it cannot hide the wait of those behind it.
+ * The load is open-loop: a slow answer does not delay later requests, which avoids coordinated omission.
  */
 export function createSchedule(plan: LoadPlan): readonly ScheduledRequest[] {
 	const generator = xoroshiro128plus(plan.seed);
 	const random = () => uniformFloat64(generator);
 	return plan.workspaces
 		.flatMap(workspace => createArrivals(plan, {workspace, random}))
-		.toSorted((a, b) => a.at - b.at)
+		.toSorted((a, b) => a.scheduledAt - b.scheduledAt)
 		.map((request, index) => ({...request, id: `${plan.seed}-${index}`}));
 }
 
@@ -27,26 +27,26 @@
 ): ReadonlyArray<Omit<ScheduledRequest, 'id'>> {
 	const {workspace, random} = options;
 	const arrivals: Array<Omit<ScheduledRequest, 'id'>> = [];
-	const step = () => -Math.log(1 - random()) * millisecondsPerSecond / workspace.offered;
-	for (let at = step(); at < plan.duration; at += step()) {
+	const drawGap = () => -Math.log(1 - random()) * millisecondsPerSecond / workspace.offered;
+	for (let scheduledAt = drawGap(); scheduledAt < plan.duration; scheduledAt += drawGap()) {
 		arrivals.push({
-			at,
+			scheduledAt,
 			workspace: workspace.name,
 			session: Math.floor(random() * workspace.sessions),
 			class: chooseClass(workspace, random()),
-			target: Math.floor(random() * plan.targets.length),
+			targetIndex: Math.floor(random() * plan.targets.length),
 		});
 	}
 
 	return arrivals;
 }
 
-function chooseClass(workspace: LoadPlan['workspaces'][number], point: number): LoadClass {
+function chooseClass(workspace: LoadPlan['workspaces'][number], fraction: number): LoadClass {
 	const total = loadClasses.reduce((sum, name) => sum + workspace[name], 0);
-	let left = point * total;
+	let remaining = fraction * total;
 	for (const name of loadClasses) {
-		left -= workspace[name];
-		if (left < 0) {
+		remaining -= workspace[name];
+		if (remaining < 0) {
 			return name;
 		}
 	}
--- a/packages/load/run-load.ts
+++ b/packages/load/run-load.ts
@@ -8,28 +8,31 @@
 import {createSchedule} from './create-schedule.ts';
 import type {LoadHistory} from './load-history.ts';
 import type {LoadPlan} from './load-plan.ts';
-import type {Outcome} from './outcome.ts';
+import type {RequestOutcome} from './request-outcome.ts';
 import type {ScheduledRequest} from './scheduled-request.ts';
 
 type Options = {
-	/** Present monotonic milliseconds. */
+	/** Returns the present time in monotonic milliseconds. */
 	readonly now: () => number;
-	/** Told now and then how many requests have been sent and answered. */
+	/** Called about once a second, and at the end, with the number of requests sent and answered. */
 	readonly onProgress: (sent: number, answered: number) => void;
 };
 
-/** One session: its token, and how many of its writes it has sent and seen acknowledged. */
+/** State of a session of the load. */
 type Session = {
+	/** Session token from the answer to the acknowledged write with the highest number. */
 	token: string;
+	/** Number of writes sent. */
 	sentWrites: number;
-	knownWrite: number;
+	/** Highest number of an acknowledged write. */
+	lastAcknowledgedWrite: number;
 };
 
-/** Milliseconds between two reports of progress. */
-const progressInterval = 1000;
+/** Milliseconds between two progress reports. */
+const progressIntervalMs = 1000;
 
-/** Milliseconds for which preparing and verifying a database may be tried again. */
-const settleTimeout = 15_000;
+/** Milliseconds for which creating the table or reading the rows of a database is retried. */
+const retryTimeoutMs = 15_000;
 
 const createTable: SqlStatement = {
 	sql: 'CREATE TABLE IF NOT EXISTS load_row (id TEXT NOT NULL, workspace TEXT NOT NULL, session INTEGER NOT NULL, write INTEGER NOT NULL)',
@@ -37,10 +40,10 @@
 };
 
 /**
- * Runs a load: sends each request at its time and notes what comes back, then reads what the databases hold.
+ * Runs a load: sends each request at its scheduled time, records the outcomes, then reads the rows from the databases.
  *
  * @param plan The plan.
- * @param options The clock, and what to do with progress.
+ * @param options The clock, and the callback for progress.
  * @throws {Error} When the databases cannot be prepared or read afterwards.
  */
 export async function runLoad(plan: LoadPlan, options: Options): Promise<LoadHistory> {
@@ -50,14 +53,14 @@
 
 	const startedAt = options.now();
 	const elapsed = () => options.now() - startedAt;
-	const outcomes: Outcome[] = [];
+	const outcomes: RequestOutcome[] = [];
 	const running: Array<Promise<void>> = [];
 	let reportedAt = 0;
 
-	const run = async (request: ScheduledRequest) => {
-		const client = clients.get(request.workspace)?.[request.target];
+	const runRequest = async (request: ScheduledRequest) => {
+		const client = clients.get(request.workspace)?.[request.targetIndex];
 		const name = `${request.workspace}/${request.session}`;
-		const session = sessions.get(name) ?? {token: '', sentWrites: 0, knownWrite: 0};
+		const session = sessions.get(name) ?? {token: '', sentWrites: 0, lastAcknowledgedWrite: 0};
 		sessions.set(name, session);
 		if (client !== undefined) {
 			outcomes.push(await sendRequest(plan, {
@@ -67,13 +70,13 @@
 	};
 
 	for (const request of createSchedule(plan)) {
-		const pause = request.at - elapsed();
+		const pause = request.scheduledAt - elapsed();
 		if (pause > 0) {
-			await sleep(pause); // eslint-disable-line no-await-in-loop -- the schedule sets the times
+			await sleep(pause); // eslint-disable-line no-await-in-loop -- requests are sent at their scheduled times
 		}
 
-		running.push(run(request));
-		if (elapsed() - reportedAt >= progressInterval) {
+		running.push(runRequest(request));
+		if (elapsed() - reportedAt >= progressIntervalMs) {
 			reportedAt = elapsed();
 			options.onProgress(running.length, outcomes.length);
 		}
@@ -95,44 +98,44 @@
 async function sendRequest(
 	plan: LoadPlan,
 	options: {readonly request: ScheduledRequest; readonly session: Session; readonly client: Caller; readonly elapsed: () => number},
-): Promise<Outcome> {
+): Promise<RequestOutcome> {
 	const {request, session, client, elapsed} = options;
 	const isWrite = request.class === 'write';
 	const sentAt = elapsed();
-	const {knownWrite} = session;
+	const {lastAcknowledgedWrite} = session;
 	if (isWrite) {
 		session.sentWrites++;
 	}
 
 	const write = isWrite ? session.sentWrites : 0;
 	const base = {
-		request, sentAt, knownWrite, write,
+		request, sentAt, lastAcknowledgedWrite, writeNumber: write,
 	};
 	try {
 		const response = await client.execute({
 			requestId: request.id,
 			database: plan.workspaces.find(({name}) => name === request.workspace)?.database ?? '',
 			statements: [encodeStatement(isWrite ? createInsert(request, write) : createSelect(plan, request))],
-			kind: createKind(plan, request),
+			kind: createRequestKind(plan, request),
 			session: session.token,
 			deadlineMs: plan.deadline,
 		});
-		noteAnswer(response, {session, write});
+		recordAnswer(response, {session, write});
 		return {...base, answeredAt: elapsed(), ...decodeOutcome(response, request)};
 	} catch {
 		return {
-			...base, answeredAt: elapsed(), kind: 'failed', code: -1, instance: '', seen: undefined,
+			...base, answeredAt: elapsed(), kind: 'failed', code: -1, instance: '', observed: undefined,
 		};
 	}
 }
 
-function noteAnswer(response: ExecuteResponse, {session, write}: {readonly session: Session; readonly write: number}): void {
+function recordAnswer(response: ExecuteResponse, {session, write}: {readonly session: Session; readonly write: number}): void {
 	if (response.answer.case !== 'done' || write === 0) {
 		return;
 	}
 
-	if (write > session.knownWrite) {
-		session.knownWrite = write;
+	if (write > session.lastAcknowledgedWrite) {
+		session.lastAcknowledgedWrite = write;
 		session.token = response.answer.value.session;
 	}
 }
@@ -145,15 +148,15 @@
 }
 
 function createSelect(plan: LoadPlan, request: ScheduledRequest): SqlStatement {
-	const own = `${plan.seed}-%`;
+	const idPattern = `${plan.seed}-%`;
 	return {
 		sql: 'SELECT ?, (SELECT coalesce(max(write), 0) FROM load_row WHERE id LIKE ? AND workspace = ? AND session = ?), '
 			+ '(SELECT count(*) FROM load_row WHERE id LIKE ? AND workspace = ?)',
-		parameters: [request.id, own, request.workspace, request.session, own, request.workspace],
+		parameters: [request.id, idPattern, request.workspace, request.session, idPattern, request.workspace],
 	};
 }
 
-function createKind(plan: LoadPlan, request: ScheduledRequest) {
+function createRequestKind(plan: LoadPlan, request: ScheduledRequest) {
 	if (request.class === 'write') {
 		return {case: 'write' as const, value: {idempotencyKey: `load-${request.id}`, repeatable: false}};
 	}
@@ -166,10 +169,10 @@
 function decodeOutcome(
 	{answer}: ExecuteResponse,
 	request: ScheduledRequest,
-): Pick<Outcome, 'kind' | 'code' | 'instance' | 'seen'> {
+): Pick<RequestOutcome, 'kind' | 'code' | 'instance' | 'observed'> {
 	if (answer.case !== 'done') {
 		return {
-			kind: answer.case ?? 'failed', code: answer.value?.code ?? -1, instance: '', seen: undefined,
+			kind: answer.case ?? 'failed', code: answer.value?.code ?? -1, instance: '', observed: undefined,
 		};
 	}
 
@@ -179,20 +182,20 @@
 		kind: 'done',
 		code: answer.value.code,
 		instance: answer.value.instance,
-		seen: request.class === 'write' ? undefined : {id: String(id), write: Number(write), rows: Number(rows)},
+		observed: request.class === 'write' ? undefined : {id: String(id), lastWrite: Number(write), rows: Number(rows)},
 	};
 }
 
 type Clients = ReadonlyMap<string, readonly Caller[]>;
 
-/** Lists one workspace for each database, to prepare and read it through. */
-function listOwners(plan: LoadPlan): ReadonlyArray<LoadPlan['workspaces'][number]> {
+/** Lists one workspace for each database, whose key is used to create the table and to read the rows. */
+function listDatabaseWorkspaces(plan: LoadPlan): ReadonlyArray<LoadPlan['workspaces'][number]> {
 	return [...new Map(plan.workspaces.map(workspace => [workspace.database, workspace])).values()];
 }
 
 async function prepareDatabases(plan: LoadPlan, clients: Clients): Promise<void> {
-	for (const {name, database} of listOwners(plan)) {
-		// eslint-disable-next-line no-await-in-loop -- one database after the other
+	for (const {name, database} of listDatabaseWorkspaces(plan)) {
+		// eslint-disable-next-line no-await-in-loop -- one database after another
 		await executeUntilDone(clients.get(name) ?? [], {
 			database,
 			statements: [encodeStatement(createTable)],
@@ -206,8 +209,8 @@
 	{clients, seed}: {readonly clients: Clients; readonly seed: number},
 ): Promise<ReadonlyMap<string, number>> {
 	const rows = new Map<string, number>();
-	for (const {name, database} of listOwners(plan)) {
-		// eslint-disable-next-line no-await-in-loop -- one database after the other
+	for (const {name, database} of listDatabaseWorkspaces(plan)) {
+		// eslint-disable-next-line no-await-in-loop -- one database after another
 		const response = await executeUntilDone(clients.get(name) ?? [], {
 			database,
 			statements: [encodeStatement({
@@ -224,20 +227,20 @@
 	return rows;
 }
 
-/** Executes a request at one target after the other until one has done it. */
+/** Sends a request to one target after another until one answers `done`. */
 async function executeUntilDone(
 	callers: readonly Caller[],
 	request: Parameters<Caller['execute']>[0],
 ): Promise<ExecuteResponse> {
-	const deadline = performance.now() + settleTimeout;
-	for (let count = 0; performance.now() < deadline; count++) {
+	const deadline = performance.now() + retryTimeoutMs;
+	for (let attempt = 0; performance.now() < deadline; attempt++) {
 		try {
-			const response = await callers[count % callers.length]?.execute(request); // eslint-disable-line no-await-in-loop
+			const response = await callers[attempt % callers.length]?.execute(request); // eslint-disable-line no-await-in-loop
 			if (response?.answer.case === 'done') {
 				return response;
 			}
 		} catch {
-			// The next target may be reachable.
+			// Retries at the next target, which may be reachable.
 		}
 
 		await sleep(50); // eslint-disable-line no-await-in-loop
--- a/packages/platform/configuration-row.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Name of the table row that names the configuration in force. */
-export const configurationRow = 'configuration';
--- a/packages/proxy/_run-transaction.ts
+++ b/packages/proxy/_run-transaction.ts
@@ -49,7 +49,7 @@
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: outcome.results, point: outcome.at, isReplayed: false,
+				kind: 'committed', results: outcome.results, point: outcome.point, isReplayed: false,
 			};
 		}
 
@@ -140,7 +140,7 @@
 	switch (outcome.kind) {
 		case 'ran': {
 			return {
-				kind: 'committed', results: options.results, point: outcome.at, isReplayed: false,
+				kind: 'committed', results: options.results, point: outcome.point, isReplayed: false,
 			};
 		}
 
@@ -181,7 +181,7 @@
 	}
 
 	return {
-		kind: 'committed', results: parseResults(results), point: outcome.at, isReplayed: true,
+		kind: 'committed', results: parseResults(results), point: outcome.point, isReplayed: true,
 	};
 }
 
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -3,7 +3,7 @@
 } from '@sapphirefall/decisions';
 import type {HybridClock} from '@sapphirefall/events';
 import type {ExchangeContent} from '@sapphirefall/hosts';
-import {formatFleet, parseFleet} from '@sapphirefall/platform';
+import {formatFleetConfiguration, parseFleetConfiguration} from '@sapphirefall/platform';
 import type {FindPeer} from './find-peer.ts';
 
 type Options = {
@@ -58,7 +58,7 @@
 			configurationVersion: state.configuration.version,
 			head: state.roster.head,
 			tableAgeMs: at - state.tableConfirmedAt,
-			configurationText: other !== undefined && other.head < state.roster.head ? formatFleet(state) : '',
+			configurationText: other !== undefined && other.head < state.roster.head ? formatFleetConfiguration(state) : '',
 			confirmations: listConfirmations(state, {maxTableAgeMs: options.maxTableAgeMs, now: at}).map(({id, confirmedAt: given}) => ({id, ageMs: at - given})),
 			primariesDigest: digest,
 			primaries: other !== undefined && other.primariesDigest !== digest ? primaries : [],
@@ -80,7 +80,7 @@
 			incarnation: content.incarnation,
 			version: content.configurationVersion,
 			head: content.head,
-			fleet: content.configurationText === '' ? undefined : parseFleet(content.configurationText),
+			fleet: content.configurationText === '' ? undefined : parseFleetConfiguration(content.configurationText),
 			confirmations: content.confirmations.map(({id, ageMs}) => ({id, confirmedAt: base - ageMs})),
 			confirmedAt: base - content.tableAgeMs,
 			primaries: content.primaries,
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -1,6 +1,6 @@
 import type {GroupView, InstanceReport} from '@sapphirefall/decisions';
 import {
-	createCommander, createPool, openConnection, openProber, type Commander, type Connection, type Pool, type Prober,
+	createFailoverClient, createConnectionPool, openConnection, openProber, type FailoverClient, type Connection, type ConnectionPool, type Prober,
 } from '@sapphirefall/endpoints';
 import type {GroupRuntime} from './group-runtime.ts';
 
@@ -19,12 +19,12 @@
 };
 
 /** A pool and the monotonic time of its last use in milliseconds. */
-type PoolEntry = {readonly pool: Pool; usedAt: number};
+type PoolEntry = {readonly pool: ConnectionPool; usedAt: number};
 
 type InstanceClients = {
 	readonly address: string;
 	readonly prober: Prober;
-	readonly commander: Commander;
+	readonly commander: FailoverClient;
 	/** Pools by purpose; a pool is created on its first use and closed when idle. */
 	readonly pools: Map<'gateway' | 'direct', PoolEntry>;
 };
@@ -49,7 +49,7 @@
  */
 export function createGroupRuntime(initialView: GroupView, options: Options): GroupRuntime {
 	const clients = new Map<string, InstanceClients>();
-	const poolByConnection = new WeakMap<Connection, Pool>();
+	const poolByConnection = new WeakMap<Connection, ConnectionPool>();
 	const waiters = new Set<Waiter>();
 	const attempts = new Map<AbortController, number>();
 	let view = initialView;
@@ -88,15 +88,15 @@
 				closePools(known);
 				clients.set(id, {
 					address,
-					prober: openProber(address, {...options, silenceLimit: options.settings.silenceLimit}),
-					commander: createCommander(address, options.settings.commandTimeout),
+					prober: openProber(address, {...options, timeoutMs: options.settings.silenceLimit}),
+					commander: createFailoverClient(address, options.settings.commandTimeout),
 					pools: new Map(),
 				});
 			}
 		}
 	};
 
-	const findPool = (instance: string, use: 'gateway' | 'direct'): Pool | undefined => {
+	const findPool = (instance: string, use: 'gateway' | 'direct'): ConnectionPool | undefined => {
 		const client = clients.get(instance);
 		if (client === undefined) {
 			return undefined;
@@ -108,10 +108,10 @@
 			return known.pool;
 		}
 
-		const pool = createPool({
+		const pool = createConnectionPool({
 			open: async onClosed => openConnection(client.address, {...options.settings, now: options.now, onClosed}),
 			size: use === 'gateway' ? options.settings.connections : options.settings.directConnections,
-			retryDelay: options.settings.reconnectDelay,
+			retryDelayMs: options.settings.reconnectDelay,
 			now: options.now,
 		});
 		client.pools.set(use, {pool, usedAt: options.now()});
@@ -159,7 +159,7 @@
 		probe,
 		async acquire(instance, demand) {
 			const pool = findPool(instance, demand.isGateway ? 'gateway' : 'direct');
-			const connection = await pool?.take(demand);
+			const connection = await pool?.acquire(demand);
 			if (connection !== undefined && pool !== undefined) {
 				poolByConnection.set(connection, pool);
 			}
@@ -167,7 +167,7 @@
 			return connection;
 		},
 		release(connection) {
-			poolByConnection.get(connection)?.give(connection);
+			poolByConnection.get(connection)?.release(connection);
 		},
 		async waitFor(find, {deadline, isUrgent}) {
 			const found = find(view);
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -131,20 +131,20 @@
 
 	const run = async (request: AdmittedRequest): Promise<HandledRequest> => {
 		running++;
-		metrics.running.set(running);
+		metrics.runningRequests.set(running);
 		const eventFields = {request: request.requestId, workspace: request.workspace, database: request.database};
 		events.emit({kind: 'request-admitted', ...eventFields, detail: describeRequestClass(request)});
 		try {
 			const answer = await options.rateLimiter.take(request) ?? await execute(request);
 			const elapsed = now() - request.arrivedAt;
 			events.emit({kind: 'request-answered', ...eventFields, detail: `${describeAnswer(answer)} in ${elapsed.toFixed(1)} ms`});
-			metrics.seconds.observe({class: describeRequestClass(request)}, elapsed / 1000);
+			metrics.requestSeconds.observe({class: describeRequestClass(request)}, elapsed / 1000);
 			metrics.requests.inc({class: describeRequestClass(request), code: findCode(answer)});
 			recordRead(request, answer);
 			return {answer, session: createSessionToken(request, answer)};
 		} finally {
 			running--;
-			metrics.running.set(running);
+			metrics.runningRequests.set(running);
 			notifyIdle();
 		}
 	};
--- a/packages/proxy/execute-read.ts
+++ b/packages/proxy/execute-read.ts
@@ -105,7 +105,7 @@
 		switch (outcome.kind) {
 			case 'ran': {
 				return {
-					kind: 'read', results: outcome.results, point: outcome.at, instance, term,
+					kind: 'read', results: outcome.results, point: outcome.point, instance, term,
 				};
 			}
 
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -1,5 +1,5 @@
 import type {GroupView} from '@sapphirefall/decisions';
-import type {Commander, Connection} from '@sapphirefall/endpoints';
+import type {FailoverClient, Connection} from '@sapphirefall/endpoints';
 import type {AttemptScope} from './attempt-scope.ts';
 
 /** The connections, probes and waiting requests of one database group on this host. */
@@ -32,6 +32,6 @@
 	) => Promise<Found | undefined>;
 	/** Starts an attempt that ends with the term or at the deadline. */
 	readonly openAttempt: (term: number, deadline: number) => AttemptScope;
-	readonly findCommander: (instance: string) => Commander | undefined;
+	readonly findCommander: (instance: string) => FailoverClient | undefined;
 	readonly close: () => void;
 };
