--- a/stand-ins/wire/start-instance-stand-in.ts
+++ b/stand-ins/wire/start-instance-stand-in.ts
@@ -182,9 +182,9 @@
 		role: () => role,
 		term: () => term,
 		log: () => log,
-		ran: () => ran,
-		callers: () => callers,
-		receive(entry) {
+		executedStatements: () => ran,
+		sessionWorkspaces: () => callers,
+		appendEntry(entry) {
 			log.push(entry);
 		},
 		promote(newTerm) {
@@ -196,7 +196,7 @@
 			term = newTerm;
 			log = [...newLog];
 		},
-		goDark() {
+		stopAnswering() {
 			isDark = true;
 		},
 		loseAnswers(count) {
--- a/stand-ins/wire/start-store-stand-in.ts
+++ b/stand-ins/wire/start-store-stand-in.ts
@@ -125,7 +125,7 @@
 		put(table, key, value) {
 			write([{table, key, value: Buffer.from(JSON.stringify(value)).toString('base64')}]);
 		},
-		drop(table, key) {
+		delete(table, key) {
 			write([{table, key, tombstone: true}]);
 		},
 		read(table, key) {
--- a/stand-ins/wire/start-wire-deployment.ts
+++ b/stand-ins/wire/start-wire-deployment.ts
@@ -52,7 +52,7 @@
 		setTimeout(() => {
 			for (const instance of instances) {
 				if (instance.id !== from && instance.role() === 'replica' && instance.term() <= entry.term) {
-					instance.receive(entry);
+					instance.appendEntry(entry);
 				}
 			}
 		}, lag);
--- a/stand-ins/wire/store-stand-in.ts
+++ b/stand-ins/wire/store-stand-in.ts
@@ -8,7 +8,7 @@
 	readonly address: () => AddressInfo;
 	/** Writes a row as the operator or an instance does. */
 	readonly put: (table: string, key: string, value: unknown) => void;
-	readonly drop: (table: string, key: string) => void;
+	readonly delete: (table: string, key: string) => void;
 	readonly read: (table: string, key: string) => unknown;
 	readonly setMode: (mode: StoreMode) => void;
 	/** Lets the next commits take effect without an answer. */
--- a/stand-ins/wire/whole-path.test.ts
+++ b/stand-ins/wire/whole-path.test.ts
@@ -87,12 +87,12 @@
 		const [primary] = deployment.instances;
 		const client = open(1, 'old');
 		await client.query('READ pond');
-		const before = primary?.ran().length ?? 0;
+		const before = primary?.executedStatements().length ?? 0;
 		for (let number = 0; number < 10; number++) {
 			expect((await client.query('READ pond')).result).to.match(/^COMPLETE/v);
 		}
 
-		expect((primary?.ran().length ?? 0) - before).to.be.at.most(1);
+		expect((primary?.executedStatements().length ?? 0) - before).to.be.at.most(1);
 	});
 
 	it('commits and rolls back transactions as a whole', async () => {
@@ -146,7 +146,7 @@
 		const [primary] = deployment.instances;
 		primary?.loseAnswers(1);
 		expect((await client.query('WRITE lost once')).result).to.equal('ERROR UNKNOWN');
-		expect(primary?.ran().filter(({text}) => text === 'WRITE lost once')).to.have.length(1);
+		expect(primary?.executedStatements().filter(({text}) => text === 'WRITE lost once')).to.have.length(1);
 	});
 
 	it('refuses what cannot be proven while the store is away, and goes on after', async () => {
@@ -178,7 +178,7 @@
 		const clients = [0, 1, 2].map(host => open(host, 'latest'));
 		await clients[0]?.query('WRITE kept before');
 		await sleep(3 * lag);
-		deployment.instances[0]?.goDark();
+		deployment.instances[0]?.stopAnswering();
 		const gaps = await Promise.all(clients.map(async (client, index) => repeatUntilDone(client, `WRITE after${index} yes`, 10_000)));
 		expect(Math.max(...gaps)).to.be.below(writeGap);
 		expect((await clients[1]?.query('READ kept'))?.rows).to.deep.equal(['before']);
@@ -186,7 +186,7 @@
 	});
 
 	it('tells instances the workspace and never a key', () => {
-		const callers = new Set(deployment.instances.flatMap(instance => instance.callers()));
+		const callers = new Set(deployment.instances.flatMap(instance => instance.sessionWorkspaces()));
 		expect([...callers]).to.include('upper').and.not.include('good').and.not.include('other');
 		expect(deployment.hosts.map(host => host.output()).join('')).to.not.match(/\b(?:good|other)\b/v);
 	});
@@ -207,7 +207,7 @@
 			}
 		}
 
-		const ran = deployment.instances.flatMap(instance => instance.ran().map(({text}) => text));
+		const ran = deployment.instances.flatMap(instance => instance.executedStatements().map(({text}) => text));
 		expect(unanswered.filter(text => ran.some(other => other.endsWith(text)))).to.deep.equal([]);
 		expect(answered).to.be.above(10);
 	});
