--- a/bench/main.ts
+++ b/bench/main.ts
@@ -77,10 +77,10 @@
 			duration: 12_000,
 			targets: outside,
 			fail(cluster) {
-				cluster.setZoneCut(zoneOfFault, true);
+				cluster.setZonePartitioned(zoneOfFault, true);
 			},
 			repair(cluster) {
-				cluster.setZoneCut(zoneOfFault, false);
+				cluster.setZonePartitioned(zoneOfFault, false);
 			},
 		},
 		primaryKilled: {
--- a/bench/measure-failover.ts
+++ b/bench/measure-failover.ts
@@ -127,7 +127,7 @@
 
 		case 'cut': {
 			for (const zone of zones) {
-				cluster.setFault(zone, primary, {isCut: true});
+				cluster.setFault(zone, primary, {isPartitioned: true});
 			}
 
 			break;
@@ -149,7 +149,7 @@
 
 		case 'cut': {
 			for (const zone of zones) {
-				cluster.setFault(zone, primary, {isCut: false});
+				cluster.setFault(zone, primary, {isPartitioned: false});
 			}
 
 			break;
--- a/scenarios/apply-fault.ts
+++ b/scenarios/apply-fault.ts
@@ -27,23 +27,23 @@
 	if (step.cut !== undefined) {
 		for (const from of step.cut.from) {
 			for (const to of step.cut.to) {
-				cluster.setFault(from, to, {isCut: true});
+				cluster.setFault(from, to, {isPartitioned: true});
 			}
 		}
 	}
 
 	if (step.partition !== undefined) {
 		const {zone, platform} = step.partition;
-		cluster.setZoneCut(zone, true);
+		cluster.setZonePartitioned(zone, true);
 		if (platform) {
-			cluster.setFault(zone, 'platform', {isCut: true});
+			cluster.setFault(zone, 'platform', {isPartitioned: true});
 		}
 	}
 
 	if (step.heal === true) {
 		for (const from of stage.scenario.cluster.zones) {
 			for (const process of [...cluster.hosts, ...cluster.instances, 'platform']) {
-				cluster.setFault(from, process, {isCut: false});
+				cluster.setFault(from, process, {isPartitioned: false});
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 async function commandStandIns({cluster, transcript}: Stage, {platform, answers, restart}: Step): Promise<void> {
 	if (restart !== undefined) {
 		transcript.add(`restart ${restart}`);
-		await cluster.child(restart).ended;
+		await cluster.child(restart).exited;
 		cluster.restart(restart);
 	}
 
--- a/scenarios/check-answer.ts
+++ b/scenarios/check-answer.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import type {ExecuteResponse} from '@sapphirefall/wire';
-import {findCode} from '../stand-ins/cluster/find-code.ts';
+import {findResultCode} from '../stand-ins/cluster/find-result-code.ts';
 import {listRows} from '../stand-ins/cluster/list-rows.ts';
 import type {Scenario} from './scenario.ts';
 
@@ -25,7 +25,7 @@
 	}
 
 	if (expected.code !== undefined) {
-		expect([expected.code].flat(), shown).to.include(findCode(response));
+		expect([expected.code].flat(), shown).to.include(findResultCode(response));
 	}
 
 	if (expected.rows !== undefined) {
--- a/scenarios/wait-for.ts
+++ b/scenarios/wait-for.ts
@@ -19,7 +19,7 @@
 
 	if (exit !== undefined) {
 		const {cluster} = stage;
-		const code = await Promise.race([cluster.child(exit.process).ended, sleep(exit.within, 'late')]);
+		const code = await Promise.race([cluster.child(exit.process).exited, sleep(exit.within, 'late')]);
 		expect(code).to.equal(exit.code);
 	}
 }
--- a/stand-ins/cluster/cluster.ts
+++ b/stand-ins/cluster/cluster.ts
@@ -32,12 +32,12 @@
 	/** Sets the fault of the links from a zone to a process. */
 	readonly setFault: (from: string, process: string, fault: Partial<LinkFault>) => void;
 	/** Cuts a zone from the processes of all others and theirs from it, or lets them go on. */
-	readonly setZoneCut: (zone: string, isCut: boolean) => void;
+	readonly setZonePartitioned: (zone: string, isCut: boolean) => void;
 	/** Closes the connections from a zone to a process. */
 	readonly resetLink: (from: string, process: string) => void;
 	/** Silences the open connections from a zone to a process for good. */
 	readonly muteLink: (from: string, process: string) => void;
-	readonly zoneOf: (process: string) => string;
+	readonly findZone: (process: string) => string;
 	readonly stop: () => Promise<void>;
 };
 
--- a/stand-ins/cluster/create-printed-log.ts
+++ b/stand-ins/cluster/create-stdout-event-log.ts
@@ -3,7 +3,7 @@
 } from '@sapphirefall/events';
 
 /** Creates the event log of a stand-in; events go to the output, a line each. */
-export function createPrintedLog(process: string): EventLog {
+export function createStdoutEventLog(process: string): EventLog {
 	return createEventLog(process, {
 		clock: createHybridClock(() => Date.now()),
 		onEvent(event) {
--- a/stand-ins/cluster/start-child.ts
+++ b/stand-ins/cluster/start-child.ts
@@ -19,7 +19,7 @@
 		signal(name) {
 			child.kill(name);
 		},
-		ended: new Promise(resolve => {
+		exited: new Promise(resolve => {
 			child.on('exit', resolve);
 		}),
 		readOutput: () => Buffer.concat(output).toString('utf8'),
--- a/stand-ins/cluster/start-cluster.ts
+++ b/stand-ins/cluster/start-cluster.ts
@@ -49,7 +49,7 @@
 		// eslint-disable-next-line no-await-in-loop -- one port after the other
 		links.set(`${from}>platform`, await createLink(platformPorts.get(from) ?? 0, {
 			fault: {
-				delay: 0, jitter: 0, loss: 0, isCut: false,
+				delayMs: 0, jitterMs: 0, lossRate: 0, isPartitioned: false,
 			}, random,
 		}));
 	}
@@ -143,10 +143,10 @@
 		setFault(from, id, fault) {
 			findLink(from, id).setFault(fault);
 		},
-		setZoneCut(zone, isCut) {
+		setZonePartitioned(zone, isCut) {
 			for (const node of nodes) {
 				for (const from of plan.zones.filter(other => (other === zone) !== (node.zone === zone))) {
-					findLink(from, node.id).setFault({isCut});
+					findLink(from, node.id).setFault({isPartitioned: isCut});
 				}
 			}
 		},
@@ -156,12 +156,12 @@
 		muteLink(from, id) {
 			findLink(from, id).mute();
 		},
-		zoneOf: id => nodes.find(node => node.id === id)?.zone ?? '',
+		findZone: id => nodes.find(node => node.id === id)?.zone ?? '',
 		async stop() {
 			// Nothing of a cluster lasts, so no process is given time to finish.
 			await Promise.all([...children.values()].map(async ({child}) => {
 				child.signal('SIGKILL');
-				await child.ended;
+				await child.exited;
 			}));
 			for (const link of links.values()) {
 				link.close();
--- a/stand-ins/demo/run-demo.ts
+++ b/stand-ins/demo/run-demo.ts
@@ -5,7 +5,7 @@
 import type {ChangeRequest, ExecuteResponse} from '@sapphirefall/wire';
 import type {Cluster} from '../cluster/cluster.ts';
 import {createStatement} from '../cluster/create-statement.ts';
-import {findCode} from '../cluster/find-code.ts';
+import {findResultCode} from '../cluster/find-result-code.ts';
 import {listRows} from '../cluster/list-rows.ts';
 import {startCluster} from '../cluster/start-cluster.ts';
 
@@ -70,7 +70,7 @@
 			last = title;
 			const sentAt = performance.now();
 			const response = await cluster.caller(host, key).execute(call);
-			print(title, findCode(response), performance.now() - sentAt);
+			print(title, findResultCode(response), performance.now() - sentAt);
 			return response;
 		},
 		async change(title, change) {
@@ -155,13 +155,13 @@
 		],
 		kind: {case: 'write', value: {idempotencyKey: 'tables', repeatable: false}},
 	});
-	expect(findCode(tables)).to.equal(resultCodes.done);
+	expect(findResultCode(tables)).to.equal(resultCodes.done);
 	const booked = await day.call('Inspector books a puddling crew', 'host-a1', {
 		database: 'pondbook',
 		statements: [createStatement('INSERT INTO booking (pond, crew) VALUES (?, ?)', ['North Hollow', 'Dawn crew'])],
 		kind: {case: 'write', value: {idempotencyKey: 'booking-1', repeatable: false}},
 	});
-	expect(findCode(booked)).to.equal(resultCodes.done);
+	expect(findResultCode(booked)).to.equal(resultCodes.done);
 	const session = booked.answer.case === 'done' ? booked.answer.value.session : '';
 	const seen = await day.call('Inspector reads the booking in session through a host in another zone', 'host-b1', {
 		database: 'pondbook',
@@ -182,13 +182,13 @@
 		],
 		kind: {case: 'write', value: {idempotencyKey: 'transfer-1', repeatable: false}},
 	};
-	expect(findCode(await day.call('Treasurer transfers credits with an idempotency key', 'host-a1', transfer))).to.equal(resultCodes.done);
+	expect(findResultCode(await day.call('Treasurer transfers credits with an idempotency key', 'host-a1', transfer))).to.equal(resultCodes.done);
 	const repeated = await day.call('Treasurer repeats the transfer through another host', 'host-c1', transfer);
 	expect(repeated.answer.case === 'done' && repeated.answer.value.replayed).to.equal(true);
 	const reused = await day.call('The same key with another amount is refused', 'host-b1', {
 		...transfer, statements: [createStatement('UPDATE household SET credits = credits + ?', [100])],
 	});
-	expect(findCode(reused)).to.equal(resultCodes.idempotencyKeyReused);
+	expect(findResultCode(reused)).to.equal(resultCodes.idempotencyKeyReused);
 	const balance = await day.call('Treasurer reads the latest balances', 'host-b1', {
 		database: 'pondbook',
 		statements: [createStatement('SELECT credits FROM household ORDER BY name')],
@@ -212,7 +212,7 @@
 		statements: [createStatement('SELECT 1')],
 		kind: {case: 'read', value: {freshness: 'session'}},
 	});
-	expect(findCode(forged)).to.equal(resultCodes.sessionInvalid);
+	expect(findResultCode(forged)).to.equal(resultCodes.sessionInvalid);
 }
 
 async function replacePrimary(
@@ -228,7 +228,7 @@
 		kind: {case: 'write', value: {idempotencyKey: 'booking-2', repeatable: false}},
 		deadlineMs: failoverLimit,
 	});
-	expect(findCode(booked)).to.equal(resultCodes.done);
+	expect(findResultCode(booked)).to.equal(resultCodes.done);
 	expect(performance.now() - startedAt).to.be.lessThan(failoverLimit);
 	const seen = await day.call('Nothing was lost, nothing doubled', 'host-c1', {
 		database: 'pondbook',
@@ -254,7 +254,7 @@
 		let code: number;
 		do {
 			await sleep(10); // eslint-disable-line no-await-in-loop
-			code = findCode(await cluster.caller(host, key).execute(call)); // eslint-disable-line no-await-in-loop
+			code = findResultCode(await cluster.caller(host, key).execute(call)); // eslint-disable-line no-await-in-loop
 		} while (code !== resultCodes.keyUnknown && performance.now() - withdrawnAt < withdrawalLimit);
 
 		expect(code).to.equal(resultCodes.keyUnknown);
--- a/stand-ins/endpoint/main.ts
+++ b/stand-ins/endpoint/main.ts
@@ -5,7 +5,7 @@
 import {parse} from 'yaml';
 import {z} from 'zod';
 import {EndpointFaultService, EndpointService} from '@sapphirefall/wire';
-import {createPrintedLog} from '../cluster/create-printed-log.ts';
+import {createStdoutEventLog} from '../cluster/create-stdout-event-log.ts';
 import type {AnswerFault} from './answer-fault.ts';
 import {createEndpointService} from './create-endpoint-service.ts';
 import {createInstance} from './create-instance.ts';
@@ -31,7 +31,7 @@
 });
 
 const settings = schema.parse(parse(readFileSync(process.argv[2] ?? '', 'utf8')));
-const events = createPrintedLog(settings.id);
+const events = createStdoutEventLog(settings.id);
 const instance = createInstance({
 	id: settings.id,
 	journalFile: settings.journalFile,
--- a/stand-ins/links/create-link.ts
+++ b/stand-ins/links/create-link.ts
@@ -26,8 +26,8 @@
 	let {fault} = options;
 
 	const findDelay = () => {
-		const lost = options.random() < fault.loss ? retransmission : 0;
-		return fault.delay + (options.random() * fault.jitter) + lost;
+		const lost = options.random() < fault.lossRate ? retransmission : 0;
+		return fault.delayMs + (options.random() * fault.jitterMs) + lost;
 	};
 
 	const relay = (from: Socket, to: Socket) => {
@@ -35,7 +35,7 @@
 		let sending = Promise.resolve();
 		const send = async (chunk: Buffer | undefined, at: number) => {
 			await wait(at - performance.now());
-			while (fault.isCut) {
+			while (fault.isPartitioned) {
 				await wait(healInterval); // eslint-disable-line no-await-in-loop -- the bytes wait until the link heals
 			}
 
--- a/stand-ins/links/link-fault.ts
+++ b/stand-ins/links/link-fault.ts
@@ -1,11 +1,11 @@
 /** What a link does to the bytes on it. */
 export type LinkFault = {
 	/** Milliseconds that each segment takes. */
-	readonly delay: number;
+	readonly delayMs: number;
 	/** Milliseconds that a segment may take longer. */
-	readonly jitter: number;
+	readonly jitterMs: number;
 	/** Share of segments that are lost and sent again. */
-	readonly loss: number;
+	readonly lossRate: number;
 	/** Whether the link holds all bytes until it heals. */
-	readonly isCut: boolean;
+	readonly isPartitioned: boolean;
 };
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -5,14 +5,14 @@
 import {connectNodeAdapter} from '@connectrpc/connect-node';
 import {parse} from 'yaml';
 import {ListFleetResponseSchema} from '@sapphirefall/wire';
-import {createPrintedLog} from '../cluster/create-printed-log.ts';
+import {createStdoutEventLog} from '../cluster/create-stdout-event-log.ts';
 import {createPlatform} from './create-platform.ts';
 
 /** What one availability zone sees of the platform: a port of its own, and the addresses that lead from the zone. */
 type ZoneView = {readonly port: number; readonly fleet: JsonValue};
 
 const {views} = parse(readFileSync(process.argv[2] ?? '', 'utf8')) as {readonly views: readonly ZoneView[]};
-const events = createPrintedLog('platform');
+const events = createStdoutEventLog('platform');
 const platform = createPlatform((row, version) => {
 	events.emit({kind: 'row-written', detail: `${row} in version ${version}`});
 });
