--- a/stand-ins/endpoint/_create-engine.ts
+++ b/stand-ins/endpoint/_create-engine.ts
@@ -14,7 +14,7 @@
 	let database = new sqlJs.Database();
 	return {
 		run: statement => runStatement(database, statement),
-		clear() {
+		reset() {
 			database.close();
 			database = new sqlJs.Database();
 		},
--- a/stand-ins/endpoint/_create-semaphore.ts
+++ b/stand-ins/endpoint/_create-semaphore.ts
@@ -5,7 +5,7 @@
 	let free = places;
 	const waiting: Array<(isEntered: boolean) => void> = [];
 	return {
-		async enter(timeout) {
+		async acquire(timeout) {
 			if (free > 0) {
 				free--;
 				return true;
@@ -24,7 +24,7 @@
 				waiting.push(admit);
 			});
 		},
-		leave() {
+		release() {
 			const next = waiting.shift();
 			if (next === undefined) {
 				free++;
--- a/stand-ins/endpoint/_create-transactions.ts
+++ b/stand-ins/endpoint/_create-transaction-manager.ts
@@ -12,21 +12,21 @@
 };
 
 /** Milliseconds for which an idle open transaction may hold the lock. */
-const idleTransactionLimit = 2000;
+const idleTransactionTimeoutMs = 2000;
 
 /** Creates what begins and ends the transactions of an engine, one at a time. */
-export function createTransactions(engine: Engine, options: Options) {
+export function createTransactionManager(engine: Engine, options: Options) {
 	const {lock, lockTimeout} = options;
 	const slots = createSemaphore(options.slots);
-	let holder: Session | undefined;
+	let openSession: Session | undefined;
 	let idleTimer: NodeJS.Timeout | undefined;
 
 	const end = (session: Session, command: 'COMMIT' | 'ROLLBACK') => {
 		engine.run({sql: command, parameters: []});
 		session.transaction = undefined;
-		holder = undefined;
+		openSession = undefined;
 		clearTimeout(idleTimer);
-		lock.leave();
+		lock.release();
 	};
 
 	const rollBack = (session: Session) => {
@@ -36,47 +36,47 @@
 	};
 
 	/** Gives the slot back when neither a transaction nor a batch needs it. */
-	const leaveSlot = (session: Session) => {
+	const releaseSlot = (session: Session) => {
 		if (session.hasSlot && !session.isRunning && session.transaction === undefined) {
 			session.hasSlot = false;
-			slots.leave();
+			slots.release();
 		}
 	};
 
 	/** Rolls back the open transaction, as the instance does by itself. */
-	const abortHolder = () => {
-		const session = holder;
+	const abortOpenTransaction = () => {
+		const session = openSession;
 		if (session?.transaction !== undefined) {
 			session.isAborted = true;
 			end(session, 'ROLLBACK');
-			leaveSlot(session);
+			releaseSlot(session);
 		}
 	};
 
 	return {
 		end,
 		rollBack,
-		leaveSlot,
-		abortHolder,
+		leaveSlot: releaseSlot,
+		abortHolder: abortOpenTransaction,
 		/** Takes a slot for a batch; false when none came free in time. */
-		async enterSlot(session: Session): Promise<boolean> {
+		async acquireSlot(session: Session): Promise<boolean> {
 			session.isRunning = true;
-			session.hasSlot ||= await slots.enter(lockTimeout);
+			session.hasSlot ||= await slots.acquire(lockTimeout);
 			session.isRunning = session.hasSlot;
 			return session.hasSlot;
 		},
 		/** Begins a transaction; false when the lock did not come free in time. */
 		async begin(session: Session): Promise<boolean> {
-			const isEntered = await lock.enter(lockTimeout);
+			const isEntered = await lock.acquire(lockTimeout);
 			if (!isEntered) {
 				return false;
 			}
 
 			engine.run({sql: 'BEGIN', parameters: []});
 			session.transaction = [];
-			holder = session;
+			openSession = session;
 			clearTimeout(idleTimer);
-			idleTimer = setTimeout(abortHolder, idleTransactionLimit);
+			idleTimer = setTimeout(abortOpenTransaction, idleTransactionTimeoutMs);
 			return true;
 		},
 	};
--- a/stand-ins/endpoint/_engine.ts
+++ b/stand-ins/endpoint/_engine.ts
@@ -5,5 +5,5 @@
 	/** Runs one statement; throws the engine's error. */
 	readonly run: (statement: SqlStatement) => SqlResult;
 	/** Empties the database. */
-	readonly clear: () => void;
+	readonly reset: () => void;
 };
--- a/stand-ins/endpoint/_open-replica-log.ts
+++ b/stand-ins/endpoint/_open-replica-log.ts
@@ -8,7 +8,7 @@
 import type {ReplicaLog} from './_replica-log.ts';
 
 /** Entries handed out at once. */
-const batchLength = 500;
+const maxBatchEntries = 500;
 
 /** Opens a log from its journal and brings the database to its end. */
 export function openReplicaLog(engine: Engine, journal: Journal): ReplicaLog {
@@ -22,7 +22,7 @@
 
 	const cut = (length: number) => {
 		entries = entries.slice(0, length);
-		engine.clear();
+		engine.reset();
 		for (const entry of entries) {
 			runEntry(entry);
 		}
@@ -44,7 +44,7 @@
 	}
 
 	return {
-		end: () => decodePoint(entries.at(-1)?.at),
+		lastPoint: () => decodePoint(entries.at(-1)?.at),
 		append(term, statements) {
 			push(create(LogEntrySchema, {at: {term, position: BigInt(entries.length + 1)}, statements: [...statements]}));
 		},
@@ -55,7 +55,7 @@
 			}
 		},
 		readEntry: position => entries[Number(position) - 1],
-		listAfter: position => entries.slice(Number(position), Number(position) + batchLength),
+		listAfter: position => entries.slice(Number(position), Number(position) + maxBatchEntries),
 		truncate(position) {
 			if (entries.length > Number(position)) {
 				journal.write({kind: 'truncate', length: Number(position)});
--- a/stand-ins/endpoint/_replica-log.ts
+++ b/stand-ins/endpoint/_replica-log.ts
@@ -3,7 +3,7 @@
 
 /** The log of an instance and the database that it makes. */
 export type ReplicaLog = {
-	readonly end: () => LogPoint;
+	readonly lastPoint: () => LogPoint;
 	/** Appends an entry whose statements the engine has already run. */
 	readonly append: (term: number, statements: readonly Statement[]) => void;
 	/** Appends entries of a primary and runs them. */
--- a/stand-ins/endpoint/create-instance.ts
+++ b/stand-ins/endpoint/create-instance.ts
@@ -8,7 +8,7 @@
 import {createEngine} from './_create-engine.ts';
 import {createSemaphore} from './_create-semaphore.ts';
 import {createSession} from './_create-session.ts';
-import {createTransactions} from './_create-transactions.ts';
+import {createTransactionManager} from './_create-transaction-manager.ts';
 import {openJournal} from './_open-journal.ts';
 import {openReplicaLog} from './_open-replica-log.ts';
 import type {Session} from './_session.ts';
@@ -22,7 +22,7 @@
 	/** Milliseconds to wait for a slot or for the write lock. */
 	readonly lockTimeout: number;
 	/** Called when the role or the term changes. */
-	readonly onRole: (role: Role, term: number) => void;
+	readonly onRoleChange: (role: Role, term: number) => void;
 };
 
 const roleMessages: Readonly<Record<Role, InstanceRole>> = {
@@ -39,14 +39,14 @@
 	const journal = openJournal(options.journalFile);
 	const log = openReplicaLog(engine, journal);
 	const lock = createSemaphore(1);
-	const transactions = createTransactions(engine, {...options, lock});
+	const transactions = createTransactionManager(engine, {...options, lock});
 	const {end, rollBack} = transactions;
-	const waiters = new Set<() => void>();
+	const pullWaiters = new Set<() => void>();
 	let term = 0;
 	let owner = '';
 	let role: Role = 'fenced';
 	let primaryAddress = '';
-	let tenure = new AbortController();
+	let roleChange = new AbortController();
 
 	for (const record of journal.read()) {
 		if (record.kind === 'term') {
@@ -60,26 +60,26 @@
 		({term, owner, role} = next);
 		primaryAddress = next.primary;
 		journal.write({kind: 'term', ...next});
-		options.onRole(role, term);
-		tenure.abort();
-		tenure = new AbortController();
+		options.onRoleChange(role, term);
+		roleChange.abort();
+		roleChange = new AbortController();
 	};
 
-	const wakeWaiters = () => {
-		for (const wake of waiters) {
+	const notifyPullWaiters = () => {
+		for (const wake of pullWaiters) {
 			wake();
 		}
 
-		waiters.clear();
+		pullWaiters.clear();
 	};
 
 	const createReport = (id = 0): InstanceReport => create(InstanceReportSchema, {
-		id, instance: options.id, term, role: roleMessages[role], at: log.end(),
+		id, instance: options.id, term, role: roleMessages[role], at: log.lastPoint(),
 	});
 
 	const createFault = (request: BatchRequest, fault: EndpointFault, message: string): BatchResponse =>
 		create(BatchResponseSchema, {
-			id: request.id, fault, message, at: log.end(),
+			id: request.id, fault, message, at: log.lastPoint(),
 		});
 
 	const checkTerm = (request: BatchRequest): boolean =>
@@ -103,7 +103,7 @@
 		end(session, 'COMMIT');
 		if (!isReadOnly && statements.length > 0) {
 			log.append(term, statements);
-			wakeWaiters();
+			notifyPullWaiters();
 		}
 	};
 
@@ -122,7 +122,7 @@
 				commit(session, request.readOnly);
 			}
 
-			const {term: endTerm, position} = log.end();
+			const {term: endTerm, position} = log.lastPoint();
 			return {...response, at: {$typeName: 'sapphirefall.v1.LogPoint', term: endTerm, position}};
 		} catch (error) {
 			rollBack(session);
@@ -134,7 +134,7 @@
 		createReport,
 		/** The role, and a signal that is aborted when it changes. */
 		getRole: () => ({
-			role, term, primaryAddress, signal: tenure.signal,
+			role, term, primaryAddress, signal: roleChange.signal,
 		}),
 		createSession,
 
@@ -144,7 +144,7 @@
 				return runInLock(session, request, false);
 			}
 
-			const hasSlot = await transactions.enterSlot(session);
+			const hasSlot = await transactions.acquireSlot(session);
 			if (!hasSlot) {
 				return createFault(request, EndpointFault.BUSY, 'no slot came free');
 			}
@@ -183,7 +183,7 @@
 				setRole({
 					term: request.term, owner: request.owner, role: 'fenced', primary: '',
 				});
-				wakeWaiters();
+				notifyPullWaiters();
 			}
 
 			return request.term === term && request.owner === owner;
@@ -200,7 +200,7 @@
 					term, owner, role: 'primary', primary: '',
 				});
 				log.append(term, []);
-				wakeWaiters();
+				notifyPullWaiters();
 			}
 
 			return true;
@@ -234,9 +234,9 @@
 				return {isAccepted: true, isDiverged: true, entries: []};
 			}
 
-			if (log.end().position === after.position) {
+			if (log.lastPoint().position === after.position) {
 				await new Promise<void>(resolve => {
-					waiters.add(resolve);
+					pullWaiters.add(resolve);
 					setTimeout(resolve, request.wait);
 				});
 			}
@@ -246,7 +246,7 @@
 
 		/** Applies a primary's entries after a point that both logs hold. */
 		async applyEntries(after: bigint, entries: readonly LogEntry[]) {
-			const isEntered = await lock.enter(options.lockTimeout);
+			const isEntered = await lock.acquire(options.lockTimeout);
 			if (!isEntered) {
 				return;
 			}
@@ -257,10 +257,10 @@
 					log.apply(entries);
 				}
 			} finally {
-				lock.leave();
+				lock.release();
 			}
 		},
 		findTermAt: (position: bigint) => log.readEntry(position)?.at?.term ?? 0,
-		logEnd: () => log.end(),
+		findLastPoint: () => log.lastPoint(),
 	};
 }
--- a/stand-ins/endpoint/main.ts
+++ b/stand-ins/endpoint/main.ts
@@ -38,7 +38,7 @@
 	slots: settings.slots,
 	serviceTime: settings.serviceTime,
 	lockTimeout: settings.lockTimeout,
-	onRole(role, term) {
+	onRoleChange(role, term) {
 		events.emit({kind: 'role-changed', detail: `${role} of term ${term}`});
 	},
 });
@@ -54,16 +54,16 @@
 
 startReplication({instance, lag: settings.lag});
 let fault: AnswerFault = {
-	delay: 0, dropped: 0, skipped: 0, hasStrays: false,
+	delayMs: 0, remainingDrops: 0, remainingSkips: 0, hasStrays: false,
 };
 const service = createEndpointService(instance, {
 	...settings,
 	readFault: () => fault,
 	takeDrop() {
-		const isTaken = fault.skipped === 0 && fault.dropped > 0;
-		fault = fault.skipped > 0
-			? {...fault, skipped: fault.skipped - 1}
-			: {...fault, dropped: Math.max(0, fault.dropped - 1)};
+		const isTaken = fault.remainingSkips === 0 && fault.remainingDrops > 0;
+		fault = fault.remainingSkips > 0
+			? {...fault, remainingSkips: fault.remainingSkips - 1}
+			: {...fault, remainingDrops: Math.max(0, fault.remainingDrops - 1)};
 		return isTaken;
 	},
 });
@@ -75,7 +75,7 @@
 				delayMs, dropped, skipped, strays,
 			}) {
 				fault = {
-					delay: delayMs, dropped, skipped, hasStrays: strays,
+					delayMs: delayMs, remainingDrops: dropped, remainingSkips: skipped, hasStrays: strays,
 				};
 				return {};
 			},
--- a/stand-ins/endpoint/send-with-fault.ts
+++ b/stand-ins/endpoint/send-with-fault.ts
@@ -9,13 +9,13 @@
 };
 
 /** Distance from a batch's number to one that no batch has. */
-const strayDistance = 1_000_000;
+const strayIdOffset = 1_000_000;
 
 /** Sends an answer as the fault of the moment has it: late, not at all, or between strays. */
 export async function sendWithFault(response: BatchResponse, options: Options): Promise<void> {
 	const fault = options.readFault();
-	if (fault.delay > 0) {
-		await sleep(fault.delay);
+	if (fault.delayMs > 0) {
+		await sleep(fault.delayMs);
 	}
 
 	if (options.takeDrop()) {
@@ -23,7 +23,7 @@
 	}
 
 	if (fault.hasStrays) {
-		options.send({...response, id: response.id + strayDistance, results: []});
+		options.send({...response, id: response.id + strayIdOffset, results: []});
 		options.send({...response, id: Math.max(0, response.id - 1), results: []});
 	}
 
--- a/stand-ins/endpoint/start-replication.ts
+++ b/stand-ins/endpoint/start-replication.ts
@@ -11,10 +11,10 @@
 };
 
 /** Milliseconds until the next attempt after a failed pull, and while there is no primary to follow. */
-const retryDelay = 50;
+const retryDelayMs = 50;
 
 /** Milliseconds after which a pull without answer is given up. */
-const pullTimeout = 1000;
+const pullTimeoutMs = 1000;
 
 /** Starts the loop in which an instance, while it is a replica, pulls entries from its primary. */
 export function startReplication({instance, lag}: Options): void {
@@ -29,7 +29,7 @@
 			role, term, primaryAddress, signal,
 		} = instance.getRole();
 		if (role !== 'replica' || primaryAddress === '') {
-			await sleep(retryDelay); // eslint-disable-line no-await-in-loop
+			await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 			continue;
 		}
 
@@ -38,7 +38,7 @@
 			cursor = undefined;
 		}
 
-		const position = cursor ?? instance.logEnd().position;
+		const position = cursor ?? instance.findLastPoint().position;
 		try {
 			// eslint-disable-next-line no-await-in-loop
 			const pulled = await client.pull({term, position, positionTerm: instance.findTermAt(position)}, signal);
@@ -48,11 +48,11 @@
 				cursor = undefined;
 				await applyLater(instance, {after: position, entries: pulled.entries, lag}); // eslint-disable-line no-await-in-loop
 			} else {
-				await sleep(retryDelay); // eslint-disable-line no-await-in-loop
+				await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 			}
 		} catch {
 			client = undefined;
-			await sleep(retryDelay); // eslint-disable-line no-await-in-loop
+			await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 		}
 	}
 }
@@ -73,6 +73,6 @@
 	// A pull from a former primary ends at once when the instance is told to follow another.
 	return async (from: {readonly term: number; readonly position: bigint; readonly positionTerm: number}, signal: AbortSignal) => client.pull(
 		{term: from.term, after: {term: from.positionTerm, position: from.position}},
-		{timeoutMs: pullTimeout, signal},
+		{timeoutMs: pullTimeoutMs, signal},
 	);
 }
