--- a/stand-ins/cluster/add-workspace.ts
+++ b/stand-ins/cluster/add-workspace.ts
@@ -5,14 +5,16 @@
 
 type Workspace = {
 	readonly name: string;
-	/** Key that its callers show. */
+	/** Key with which callers of the workspace authenticate. */
 	readonly key: string;
+	/** Units per second. */
 	readonly rate: number;
+	/** Capacity of the token bucket, in units. */
 	readonly burst: number;
 	readonly database: string;
 };
 
-/** Adds a workspace and its key to the configuration of a cluster. */
+/** Adds a workspace and its key to the configuration of a cluster, through the first host. */
 export async function addWorkspace(cluster: Cluster, workspace: Workspace): Promise<void> {
 	const {
 		name, key, rate, burst, database,
--- a/stand-ins/cluster/child.ts
+++ b/stand-ins/cluster/child.ts
@@ -1,10 +1,10 @@
-/** A process of the cluster. */
+/** A child process that runs one member of the cluster. */
 export type Child = {
 	readonly signal: (name: NodeJS.Signals) => void;
-	/** Resolves to the exit code when the process has ended; null after a signal. */
+	/** Resolves to the exit code when the process exits, or to `null` if a signal terminated it. */
 	readonly exited: Promise<number | null>;
-	/** Lines that the process has written on its output stream. */
+	/** Returns everything that the process has written to standard output. */
 	readonly readOutput: () => string;
-	/** Lines that the process has written on its error stream. */
+	/** Returns everything that the process has written to standard error. */
 	readonly readErrors: () => string;
 };
--- a/stand-ins/cluster/cluster-plan.ts
+++ b/stand-ins/cluster/cluster-plan.ts
@@ -1,19 +1,19 @@
-/** What a cluster consists of. */
+/** Topology, network conditions and settings of a cluster. */
 export type ClusterPlan = {
 	readonly zones: readonly string[];
 	/** Entry hosts in each zone. */
 	readonly hostsPerZone: number;
 	readonly databases: readonly string[];
-	/** Milliseconds from zone to zone, one way. */
+	/** One-way latency between zones, in milliseconds. */
 	readonly zoneDelay: number;
-	/** Further milliseconds that a segment between zones may take. */
+	/** Largest additional latency of a segment between zones, in milliseconds. */
 	readonly zoneJitter: number;
-	/** Share of segments between zones that are lost and sent again. */
+	/** Fraction of segments between zones that are lost and retransmitted, from 0 to 1. */
 	readonly zoneLoss: number;
 	/** Settings of hosts that differ from the defaults. */
 	readonly host: Readonly<Record<string, unknown>>;
 	/** Settings of endpoint instances that differ from the defaults. */
 	readonly endpoint: Readonly<Record<string, unknown>>;
-	/** Seed of the links' jitter and loss. */
+	/** Seed of the random jitter and loss on links. */
 	readonly seed: number;
 };
--- a/stand-ins/cluster/create-host-settings.ts
+++ b/stand-ins/cluster/create-host-settings.ts
@@ -4,14 +4,14 @@
 
 type Options = {
 	readonly ports: HostPorts;
-	/** URL of the platform. */
+	/** URL at which the host reaches the platform. */
 	readonly platform: string;
 	readonly operatorToken: string;
 };
 
 const sessionSecret = 'a secret of the stand-in fleet, 32 characters or more';
 
-/** Creates the settings of an entry host of the cluster. */
+/** Creates the settings file content of an entry host. */
 export function createHostSettings({id, zone, port}: ClusterNode, {ports, platform, operatorToken}: Options) {
 	return {
 		host: {id, zone},
--- a/stand-ins/cluster/create-statement.ts
+++ b/stand-ins/cluster/create-statement.ts
@@ -3,7 +3,7 @@
 import {encodeStatement, StatementSchema, type Statement} from '@sapphirefall/wire';
 
 /**
- * Creates a statement as callers send it.
+ * Creates a statement message with encoded parameters.
  *
  * @example
  * createStatement('SELECT * FROM pond WHERE id = ?', [3]);
--- a/stand-ins/cluster/create-stdout-event-log.ts
+++ b/stand-ins/cluster/create-stdout-event-log.ts
@@ -2,7 +2,7 @@
 	createEventLog, createHybridClock, formatEvent, type EventLog,
 } from '@sapphirefall/events';
 
-/** Creates the event log of a stand-in; events go to the output, a line each. */
+/** Creates an event log that prints each event to standard output, one per line. */
 export function createStdoutEventLog(process: string): EventLog {
 	return createEventLog(process, {
 		clock: createHybridClock(() => Date.now()),
--- a/stand-ins/cluster/find-free-port.ts
+++ b/stand-ins/cluster/find-free-port.ts
@@ -1,21 +1,21 @@
 import {createServer} from 'node:net';
 import process from 'node:process';
 
-/** First and last port to hand out; the system picks ports of outgoing connections and of relays above these. */
-const firstPort = 20_000;
-const lastPort = 32_000;
+/** Range of ports to allocate. It lies below the operating system's ephemeral ports, which outgoing connections and relays use. */
+const minPort = 20_000;
+const maxPort = 32_000;
 
-/** Distance between the ports that two test processes try first. */
-const processStride = 41;
+/** Distance between the first ports that two test processes with adjacent process identifiers try. */
+const processOffset = 41;
 
-let next = firstPort + ((process.pid * processStride) % (lastPort - firstPort));
+let nextPort = minPort + ((process.pid * processOffset) % (maxPort - minPort));
 
-/** Finds a port that nothing listens on, and that the system gives to nothing else meanwhile. */
+/** Finds a free port that the operating system does not assign to other sockets before the caller listens on it. */
 export async function findFreePort(): Promise<number> {
 	for (;;) {
-		const port = next;
-		next = port >= lastPort ? firstPort : port + 1;
-		if (await canListen(port)) { // eslint-disable-line no-await-in-loop -- one port after the other
+		const port = nextPort;
+		nextPort = port >= maxPort ? minPort : port + 1;
+		if (await canListen(port)) { // eslint-disable-line no-await-in-loop -- checks one port at a time
 			return port;
 		}
 	}
--- a/stand-ins/cluster/host-ports.ts
+++ b/stand-ins/cluster/host-ports.ts
@@ -1,4 +1,4 @@
-/** Ports at which callers and operators reach a host. */
+/** Ports on which a host listens for requests of callers, streams of callers, and operators. */
 export type HostPorts = {
 	readonly callers: number;
 	readonly streams: number;
--- a/stand-ins/cluster/open-caller-stream.ts
+++ b/stand-ins/cluster/open-caller-stream.ts
@@ -6,16 +6,16 @@
 } from '@sapphirefall/wire';
 import type {CallerStream} from './caller-stream.ts';
 
-type Waiting = {
+type PendingRequest = {
 	readonly resolve: (response: ExecuteResponse) => void;
 	readonly reject: (error: Error) => void;
 };
 
 /**
- * Opens a caller's stream to a host and keeps it open; answers are matched by the requests' identifiers.
+ * Opens a stream of a caller to a host. Requests may overlap; answers are matched to them by request identifier.
  *
- * @param baseUrl URL of the host's address for streams.
- * @param key Key of the workspace.
+ * @param baseUrl URL at which the host accepts streams.
+ * @param key Key of the caller.
  */
 export function openCallerStream(baseUrl: string, key: string): CallerStream {
 	const sessionManager = new Http2SessionManager(baseUrl);
@@ -23,40 +23,40 @@
 		baseUrl, httpVersion: '2', sessionManager, interceptors: [createTokenInterceptor(key)],
 	}));
 	const requests = createQueue<ExecuteRequest>();
-	const waiting = new Map<string, Waiting>();
-	let count = 0;
+	const pending = new Map<string, PendingRequest>();
+	let requestCount = 0;
 
-	const receive = async () => {
+	const receiveResponses = async () => {
 		for await (const response of client.converse(requests)) {
-			waiting.get(response.requestId)?.resolve(response);
-			waiting.delete(response.requestId);
+			pending.get(response.requestId)?.resolve(response);
+			pending.delete(response.requestId);
 		}
 	};
 
-	const rejectAll = (error: Error) => {
-		for (const {reject} of waiting.values()) {
+	const rejectPending = (error: Error) => {
+		for (const {reject} of pending.values()) {
 			reject(error);
 		}
 
-		waiting.clear();
+		pending.clear();
 	};
 
-	const run = async () => {
+	const runStream = async () => {
 		try {
-			await receive();
-			rejectAll(new Error('the stream has ended'));
+			await receiveResponses();
+			rejectPending(new Error('the host ended the stream before it answered'));
 		} catch (error) {
-			rejectAll(error as Error);
+			rejectPending(error as Error);
 		}
 	};
 
-	void run();
+	void runStream();
 	return {
 		async execute(request) {
-			count++;
-			const requestId = `stream-${count}`;
+			requestCount++;
+			const requestId = `stream-${requestCount}`;
 			return new Promise((resolve, reject) => {
-				waiting.set(requestId, {resolve, reject});
+				pending.set(requestId, {resolve, reject});
 				requests.push(create(ExecuteRequestSchema, {...request, requestId}));
 			});
 		},
--- a/stand-ins/cluster/start-child.ts
+++ b/stand-ins/cluster/start-child.ts
@@ -4,10 +4,10 @@
 import type {Child} from './child.ts';
 
 /**
- * Starts a process of the cluster.
+ * Starts a child process of the cluster.
  *
- * @param script Program file.
- * @param arguments_ Its arguments.
+ * @param script Path of the TypeScript program.
+ * @param arguments_ Command-line arguments of the program.
  */
 export function startChild(script: string, arguments_: readonly string[]): Child {
 	const child = spawn(process.execPath, ['--import=tsx', script, ...arguments_], {stdio: ['ignore', 'pipe', 'pipe']});
--- a/stand-ins/cluster/start-cluster.ts
+++ b/stand-ins/cluster/start-cluster.ts
@@ -26,7 +26,7 @@
 const platformScript = path.join(import.meta.dirname, '../platform/main.ts');
 const daemonScript = path.join(import.meta.dirname, '../../daemons/main.ts');
 
-/** Starts a cluster of processes on this machine. Ports are free ones. */
+/** Starts a cluster of processes on this machine, on free ports, and waits until all hosts serve requests. */
 export async function startCluster(plan: ClusterPlan): Promise<Cluster> {
 	const directory = mkdtempSync(path.join(tmpdir(), 'sapphirefall-'));
 	const random = createRandom(plan.seed);
@@ -38,15 +38,15 @@
 
 	for (const from of plan.zones) {
 		for (const node of nodes) {
-			const isNear = node.zone === from;
+			const isSameZone = node.zone === from;
 			const fault = {
-				delay: isNear ? 0 : plan.zoneDelay, jitter: isNear ? 0 : plan.zoneJitter, loss: isNear ? 0 : plan.zoneLoss, isCut: false,
+				delayMs: isSameZone ? 0 : plan.zoneDelay, jitterMs: isSameZone ? 0 : plan.zoneJitter, lossRate: isSameZone ? 0 : plan.zoneLoss, isPartitioned: false,
 			};
-			// eslint-disable-next-line no-await-in-loop -- one port after the other
+			// eslint-disable-next-line no-await-in-loop -- opens one link at a time
 			links.set(`${from}>${node.id}`, await createLink(node.port, {fault, random}));
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- one port after the other
+		// eslint-disable-next-line no-await-in-loop -- opens one link at a time
 		links.set(`${from}>platform`, await createLink(platformPorts.get(from) ?? 0, {
 			fault: {
 				delayMs: 0, jitterMs: 0, lossRate: 0, isPartitioned: false,
@@ -66,7 +66,7 @@
 		return file;
 	};
 
-	const createFleet = (from: string) => ({
+	const createFleetList = (from: string) => ({
 		hosts: nodes.filter(({kind}) => kind === 'host').map(({id, zone}) => ({id, zone, address: findAddress(from, id)})),
 		groups: plan.databases.map(database => ({
 			database,
@@ -77,7 +77,7 @@
 	});
 
 	start('platform', platformScript, [writeSettings('platform', {
-		views: plan.zones.map(zone => ({port: platformPorts.get(zone), fleet: createFleet(zone)})),
+		views: plan.zones.map(zone => ({port: platformPorts.get(zone), fleet: createFleetList(zone)})),
 	})]);
 
 	for (const node of nodes.filter(({kind}) => kind === 'instance')) {
@@ -101,7 +101,7 @@
 	const findChild = (id: string) => {
 		const found = children.get(id);
 		if (found === undefined) {
-			throw new Error(`The cluster has no process "${id}"`);
+			throw new Error(`Cluster has no process "${id}"`);
 		}
 
 		return found;
@@ -110,7 +110,7 @@
 	const findLink = (from: string, id: string) => {
 		const link = links.get(`${from}>${id}`);
 		if (link === undefined) {
-			throw new Error(`The cluster has no link from zone "${from}" to "${id}"`);
+			throw new Error(`Cluster has no link from zone "${from}" to "${id}"`);
 		}
 
 		return link;
@@ -143,10 +143,10 @@
 		setFault(from, id, fault) {
 			findLink(from, id).setFault(fault);
 		},
-		setZonePartitioned(zone, isCut) {
+		setZonePartitioned(zone, isPartitioned) {
 			for (const node of nodes) {
 				for (const from of plan.zones.filter(other => (other === zone) !== (node.zone === zone))) {
-					findLink(from, node.id).setFault({isPartitioned: isCut});
+					findLink(from, node.id).setFault({isPartitioned});
 				}
 			}
 		},
@@ -158,7 +158,7 @@
 		},
 		findZone: id => nodes.find(node => node.id === id)?.zone ?? '',
 		async stop() {
-			// Nothing of a cluster lasts, so no process is given time to finish.
+			// No state outlives the cluster, so all processes are killed without a graceful shutdown.
 			await Promise.all([...children.values()].map(async ({child}) => {
 				child.signal('SIGKILL');
 				await child.exited;
@@ -188,30 +188,30 @@
 	return createConnectTransport({baseUrl, httpVersion: '1.1', interceptors: [createTokenInterceptor(token)]});
 }
 
-/** Milliseconds for a cluster to start. */
-const startTimeout = 15_000;
+/** Time limit for a cluster to start, and largest age of the configuration at which a host counts as started. */
+const startTimeoutMs = 15_000;
 
-/** Waits until every host knows every group's primary and the configuration. */
+/** Waits until every host knows the configuration, all hosts and the primary of each group, and has its rate allocation. */
 async function waitUntilServing(cluster: Cluster): Promise<void> {
-	const deadline = Date.now() + startTimeout;
-	const waiting = new Set(cluster.hosts);
-	while (waiting.size > 0) {
-		for (const host of waiting) {
+	const deadline = Date.now() + startTimeoutMs;
+	const pendingHosts = new Set(cluster.hosts);
+	while (pendingHosts.size > 0) {
+		for (const host of pendingHosts) {
 			try {
 				const status = await cluster.operator(host).status({}); // eslint-disable-line no-await-in-loop
-				const isServing = status.configAgeMs < startTimeout && status.groups.length > 0
+				const isServing = status.configAgeMs < startTimeoutMs && status.groups.length > 0
 					&& status.groups.every(({primary}) => primary !== '') && status.hosts.length === cluster.hosts.length && status.roster.length === cluster.hosts.length && status.ratesReady;
 				if (isServing) {
-					waiting.delete(host);
+					pendingHosts.delete(host);
 				}
 			} catch {
-				// The host does not listen yet.
+				// The host is not listening yet.
 			}
 		}
 
-		if (waiting.size > 0 && Date.now() > deadline) {
-			const [host = ''] = waiting;
-			throw new Error(`Host "${host}" did not start: ${cluster.child(host).readErrors()}`);
+		if (pendingHosts.size > 0 && Date.now() > deadline) {
+			const [host = ''] = pendingHosts;
+			throw new Error(`Host "${host}" did not start within ${startTimeoutMs} ms: ${cluster.child(host).readErrors()}`);
 		}
 
 		await new Promise(resolve => { // eslint-disable-line no-await-in-loop
--- a/stand-ins/endpoint/_create-engine.ts
+++ b/stand-ins/endpoint/_create-engine.ts
@@ -2,14 +2,14 @@
 import type {SqlResult, SqlStatement, SqlValue} from '@sapphirefall/decisions';
 import type {Engine} from './_engine.ts';
 
-/** The part of a prepared statement that the engine's typings lack. */
+/** Method of a prepared statement that the type declarations of sql.js omit. */
 type BigIntRows = {
 	readonly get: (parameters: null, config: {readonly useBigInt: boolean}) => SqlValue[];
 };
 
 const sqlJs = await initSqlJs();
 
-/** Creates an empty in-memory database. */
+/** Creates an engine with an empty in-memory SQLite database. */
 export function createEngine(): Engine {
 	let database = new sqlJs.Database();
 	return {
@@ -24,14 +24,14 @@
 function runStatement(database: Database, statement: SqlStatement): SqlResult {
 	const prepared = database.prepare(statement.sql);
 	try {
-		const before = countChanges(database);
+		const changesBefore = countChanges(database);
 		prepared.bind(statement.parameters.map(value => bindValue(value)) as BindParams);
 		const rows: SqlValue[][] = [];
 		while (prepared.step()) {
 			rows.push((prepared as unknown as BigIntRows).get(null, {useBigInt: true}));
 		}
 
-		return {columns: prepared.getColumnNames(), rows, changes: countChanges(database) - before};
+		return {columns: prepared.getColumnNames(), rows, changes: countChanges(database) - changesBefore};
 	} finally {
 		prepared.free();
 	}
--- a/stand-ins/endpoint/_create-semaphore.ts
+++ b/stand-ins/endpoint/_create-semaphore.ts
@@ -1,33 +1,33 @@
 import type {Semaphore} from './_semaphore.ts';
 
-/** Creates a semaphore with a number of places. */
-export function createSemaphore(places: number): Semaphore {
-	let free = places;
-	const waiting: Array<(isEntered: boolean) => void> = [];
+/** Creates a semaphore with this number of permits. */
+export function createSemaphore(permits: number): Semaphore {
+	let freePermits = permits;
+	const waiters: Array<(isAcquired: boolean) => void> = [];
 	return {
-		async acquire(timeout) {
-			if (free > 0) {
-				free--;
+		async acquire(timeoutMs) {
+			if (freePermits > 0) {
+				freePermits--;
 				return true;
 			}
 
 			return new Promise(resolve => {
-				const admit = (isEntered: boolean) => {
+				const settle = (isAcquired: boolean) => {
 					clearTimeout(timer);
-					resolve(isEntered);
+					resolve(isAcquired);
 				};
 
 				const timer = setTimeout(() => {
-					waiting.splice(waiting.indexOf(admit), 1);
+					waiters.splice(waiters.indexOf(settle), 1);
 					resolve(false);
-				}, timeout);
-				waiting.push(admit);
+				}, timeoutMs);
+				waiters.push(settle);
 			});
 		},
 		release() {
-			const next = waiting.shift();
+			const next = waiters.shift();
 			if (next === undefined) {
-				free++;
+				freePermits++;
 			} else {
 				next(true);
 			}
--- a/stand-ins/endpoint/_create-transaction-manager.ts
+++ b/stand-ins/endpoint/_create-transaction-manager.ts
@@ -4,28 +4,29 @@
 import type {Session} from './_session.ts';
 
 type Options = {
-	/** Held by a transaction from its first statement to its end. */
+	/** Write lock that a transaction holds from its first statement to its end. */
 	readonly lock: Semaphore;
+	/** Number of batches and transactions in progress at a time. */
 	readonly slots: number;
-	/** Milliseconds to wait for a slot or for the lock. */
+	/** Milliseconds to wait for a slot or for the write lock. */
 	readonly lockTimeout: number;
 };
 
-/** Milliseconds for which an idle open transaction may hold the lock. */
-const idleTransactionTimeoutMs = 2000;
+/** Milliseconds after its start at which an open transaction is rolled back, so that an abandoned one releases the lock. */
+const transactionTimeoutMs = 2000;
 
-/** Creates what begins and ends the transactions of an engine, one at a time. */
+/** Creates a manager that begins and ends the transactions of an engine, one at a time, and limits concurrent batches by slots. */
 export function createTransactionManager(engine: Engine, options: Options) {
 	const {lock, lockTimeout} = options;
 	const slots = createSemaphore(options.slots);
 	let openSession: Session | undefined;
-	let idleTimer: NodeJS.Timeout | undefined;
+	let transactionTimer: NodeJS.Timeout | undefined;
 
 	const end = (session: Session, command: 'COMMIT' | 'ROLLBACK') => {
 		engine.run({sql: command, parameters: []});
 		session.transaction = undefined;
 		openSession = undefined;
-		clearTimeout(idleTimer);
+		clearTimeout(transactionTimer);
 		lock.release();
 	};
 
@@ -35,7 +36,7 @@
 		}
 	};
 
-	/** Gives the slot back when neither a transaction nor a batch needs it. */
+	/** Releases the slot of a session unless a transaction or a running batch still needs it. */
 	const releaseSlot = (session: Session) => {
 		if (session.hasSlot && !session.isRunning && session.transaction === undefined) {
 			session.hasSlot = false;
@@ -43,7 +44,7 @@
 		}
 	};
 
-	/** Rolls back the open transaction, as the instance does by itself. */
+	/** Rolls back the open transaction on behalf of the instance, after a timeout or a change of role. */
 	const abortOpenTransaction = () => {
 		const session = openSession;
 		if (session?.transaction !== undefined) {
@@ -58,25 +59,25 @@
 		rollBack,
 		leaveSlot: releaseSlot,
 		abortHolder: abortOpenTransaction,
-		/** Takes a slot for a batch; false when none came free in time. */
+		/** Acquires a slot for a batch. Resolves to `false` if none becomes free within the timeout. */
 		async acquireSlot(session: Session): Promise<boolean> {
 			session.isRunning = true;
 			session.hasSlot ||= await slots.acquire(lockTimeout);
 			session.isRunning = session.hasSlot;
 			return session.hasSlot;
 		},
-		/** Begins a transaction; false when the lock did not come free in time. */
+		/** Begins a transaction. Resolves to `false` if the lock does not become free within the timeout. */
 		async begin(session: Session): Promise<boolean> {
-			const isEntered = await lock.acquire(lockTimeout);
-			if (!isEntered) {
+			const isAcquired = await lock.acquire(lockTimeout);
+			if (!isAcquired) {
 				return false;
 			}
 
 			engine.run({sql: 'BEGIN', parameters: []});
 			session.transaction = [];
 			openSession = session;
-			clearTimeout(idleTimer);
-			idleTimer = setTimeout(abortOpenTransaction, idleTransactionTimeoutMs);
+			clearTimeout(transactionTimer);
+			transactionTimer = setTimeout(abortOpenTransaction, transactionTimeoutMs);
 			return true;
 		},
 	};
--- a/stand-ins/endpoint/_engine.ts
+++ b/stand-ins/endpoint/_engine.ts
@@ -2,8 +2,8 @@
 
 /** The embedded SQL engine of one instance. */
 export type Engine = {
-	/** Runs one statement; throws the engine's error. */
+	/** Runs one statement. Throws the error of the engine if the statement fails. */
 	readonly run: (statement: SqlStatement) => SqlResult;
-	/** Empties the database. */
+	/** Replaces the database by an empty one. */
 	readonly reset: () => void;
 };
--- a/stand-ins/endpoint/_open-journal.ts
+++ b/stand-ins/endpoint/_open-journal.ts
@@ -2,7 +2,7 @@
 import type {Journal} from './_journal.ts';
 import type {JournalRecord} from './_journal-record.ts';
 
-/** Opens the journal in a file, or one that is lost with the process when there is no file. */
+/** Opens the journal in a file. Without a file, the journal discards all records, so that nothing survives a restart. */
 export function openJournal(file: string | undefined): Journal {
 	return {
 		read() {
--- a/stand-ins/endpoint/_open-replica-log.ts
+++ b/stand-ins/endpoint/_open-replica-log.ts
@@ -7,28 +7,28 @@
 import type {Journal} from './_journal.ts';
 import type {ReplicaLog} from './_replica-log.ts';
 
-/** Entries handed out at once. */
+/** Largest number of entries that a replica receives in one answer. */
 const maxBatchEntries = 500;
 
-/** Opens a log from its journal and brings the database to its end. */
+/** Opens a log from its journal and replays all entries into the database. */
 export function openReplicaLog(engine: Engine, journal: Journal): ReplicaLog {
 	let entries: LogEntry[] = [];
 
-	const runEntry = (entry: LogEntry) => {
+	const applyEntry = (entry: LogEntry) => {
 		for (const statement of entry.statements) {
 			engine.run(decodeStatement(statement));
 		}
 	};
 
-	const cut = (length: number) => {
+	const truncateEntries = (length: number) => {
 		entries = entries.slice(0, length);
 		engine.reset();
 		for (const entry of entries) {
-			runEntry(entry);
+			applyEntry(entry);
 		}
 	};
 
-	const push = (entry: LogEntry) => {
+	const appendEntry = (entry: LogEntry) => {
 		entries.push(entry);
 		journal.write({kind: 'entry', entry: toJsonString(LogEntrySchema, entry)});
 	};
@@ -37,21 +37,21 @@
 		if (record.kind === 'entry') {
 			const entry = fromJsonString(LogEntrySchema, record.entry);
 			entries.push(entry);
-			runEntry(entry);
+			applyEntry(entry);
 		} else if (record.kind === 'truncate') {
-			cut(record.length);
+			truncateEntries(record.length);
 		}
 	}
 
 	return {
 		lastPoint: () => decodePoint(entries.at(-1)?.at),
 		append(term, statements) {
-			push(create(LogEntrySchema, {at: {term, position: BigInt(entries.length + 1)}, statements: [...statements]}));
+			appendEntry(create(LogEntrySchema, {at: {term, position: BigInt(entries.length + 1)}, statements: [...statements]}));
 		},
 		apply(added) {
 			for (const entry of added) {
-				runEntry(entry);
-				push(entry);
+				applyEntry(entry);
+				appendEntry(entry);
 			}
 		},
 		readEntry: position => entries[Number(position) - 1],
@@ -59,7 +59,7 @@
 		truncate(position) {
 			if (entries.length > Number(position)) {
 				journal.write({kind: 'truncate', length: Number(position)});
-				cut(Number(position));
+				truncateEntries(Number(position));
 			}
 		},
 	};
--- a/stand-ins/endpoint/_semaphore.ts
+++ b/stand-ins/endpoint/_semaphore.ts
@@ -1,6 +1,6 @@
-/** Lets a number of holders in at a time, in the order in which they asked. */
+/** A counting semaphore that grants permits in the order of requests. */
 export type Semaphore = {
-	/** Waits for a place; resolves to false when none came free within the milliseconds. */
-	readonly acquire: (timeout: number) => Promise<boolean>;
+	/** Waits for a permit. Resolves to `false` if none becomes free within the timeout. */
+	readonly acquire: (timeoutMs: number) => Promise<boolean>;
 	readonly release: () => void;
 };
--- a/stand-ins/endpoint/_session.ts
+++ b/stand-ins/endpoint/_session.ts
@@ -1,14 +1,18 @@
 import type {Statement} from '@sapphirefall/wire';
 
-/** A database connection's side of a transaction. */
+/** Transaction state of a connection. */
 export type Session = {
-	/** Statements to log when the transaction commits; undefined outside one. */
+	/** Statements to log when the open transaction commits; `undefined` if none is open. */
 	transaction: Statement[] | undefined;
-	/** Set when the instance rolled the transaction back by itself. */
+	/** Whether the instance rolled back the transaction without a request from the client. */
 	isAborted: boolean;
-	/** A transaction keeps its slot from beginning to end, so that its commit never waits behind those that wait for its lock. */
+	/**
+	 * Whether the session holds a slot. A transaction keeps its slot from begin to end;
+	 * otherwise its commit could wait for slots that are held by sessions waiting for its lock.
+	 */
 	hasSlot: boolean;
+	/** Whether a batch of the connection is running. */
 	isRunning: boolean;
-	/** Set when the connection has closed; what still waited for the lock then ends at once. */
+	/** Whether the connection has closed. A batch that acquires the lock afterwards is rolled back as soon as it has run. */
 	isClosed: boolean;
 };
--- a/stand-ins/endpoint/answer-fault.ts
+++ b/stand-ins/endpoint/answer-fault.ts
@@ -1,11 +1,11 @@
-/** What happens to the answers of an instance. */
+/** Fault injected into the answers of an instance. */
 export type AnswerFault = {
-	/** Milliseconds for which an answer is held after its batch ran. */
+	/** Delay of an answer after its batch has run. */
 	readonly delayMs: number;
-	/** Answers that are still to be lost after their batch ran. */
+	/** Number of answers still to be dropped after their batches have run. */
 	readonly remainingDrops: number;
-	/** Answers that are still let through before those that are lost. */
+	/** Number of answers still to be sent before the first one that is dropped. */
 	readonly remainingSkips: number;
-	/** Whether each answer comes between one for another batch and a copy of itself. */
+	/** Whether an answer for another batch precedes each answer and a duplicate without results follows it. */
 	readonly hasStrays: boolean;
 };
--- a/stand-ins/endpoint/create-endpoint-service.ts
+++ b/stand-ins/endpoint/create-endpoint-service.ts
@@ -14,23 +14,23 @@
 type Instance = ReturnType<typeof createInstance>;
 
 type Options = {
-	/** Connections accepted at a time. */
+	/** Largest number of concurrent connections. */
 	readonly connectionLimit: number;
-	/** Milliseconds until a new connection answers. */
+	/** Milliseconds that opening a connection takes. */
 	readonly connectTime: number;
-	/** Milliseconds for which a pull waits for entries. */
+	/** Milliseconds for which a pull request waits for new entries. */
 	readonly pullWait: number;
-	/** Addresses of other instances, where they differ from those that hosts use. */
+	/** Addresses at which this instance reaches other instances, by instance. Instances without an entry are reached at the address that hosts send. */
 	readonly routes: Readonly<Record<string, string>>;
-	/** Whether all batches are written to the output. */
+	/** Whether the service prints every batch request to standard output. */
 	readonly trace: boolean;
-	/** What happens to answers now. */
+	/** Returns the current fault. */
 	readonly readFault: () => AnswerFault;
-	/** Takes one of the answers that are to be dropped, if any is left. */
+	/** Counts one answer and returns whether it is to be dropped. */
 	readonly takeDrop: () => boolean;
 };
 
-/** Creates the service through which hosts and replicas use an instance. */
+/** Creates the service of an instance for hosts and replicas. */
 export function createEndpointService(instance: Instance, options: Options): ServiceImpl<typeof EndpointService> {
 	let connections = 0;
 
@@ -69,7 +69,7 @@
 	};
 }
 
-/** Serves one connection: batches one after the other, pings at once. */
+/** Serves one connection. Batches run sequentially; pings are answered immediately. */
 async function * serveConnection(
 	instance: Instance,
 	options: Options & {readonly requests: AsyncIterable<BatchRequest>; readonly context: HandlerContext},
@@ -83,8 +83,8 @@
 	};
 
 	context.signal.addEventListener('abort', close);
-	const reading = (async () => {
-		let running: Promise<void> = Promise.resolve();
+	const requestsRead = (async () => {
+		let lastBatch: Promise<void> = Promise.resolve();
 		for await (const request of requests) {
 			if (options.trace) {
 				console.log(toJsonString(BatchRequestSchema, request));
@@ -93,19 +93,19 @@
 			if (request.ping) {
 				responses.push(create(BatchResponseSchema, {id: request.id}));
 			} else {
-				running = runAfter(running, async () => {
+				lastBatch = runAfter(lastBatch, async () => {
 					await sendWithFault(await instance.runBatch(session, request), {...options, send: responses.push});
 				});
 			}
 		}
 
-		await running;
+		await lastBatch;
 	})();
-	reading.catch(() => undefined).finally(close); // eslint-disable-line promise/prefer-await-to-then
+	requestsRead.catch(() => undefined).finally(close); // eslint-disable-line promise/prefer-await-to-then
 	yield * responses;
 }
 
-async function runAfter(running: Promise<void>, task: () => Promise<void>): Promise<void> {
-	await running;
+async function runAfter(lastBatch: Promise<void>, task: () => Promise<void>): Promise<void> {
+	await lastBatch;
 	await task();
 }
--- a/stand-ins/endpoint/create-instance.ts
+++ b/stand-ins/endpoint/create-instance.ts
@@ -16,12 +16,13 @@
 type Options = {
 	readonly id: string;
 	readonly journalFile: string | undefined;
+	/** Number of batches and transactions in progress at a time. */
 	readonly slots: number;
 	/** Milliseconds that a batch occupies its slot. */
 	readonly serviceTime: number;
 	/** Milliseconds to wait for a slot or for the write lock. */
 	readonly lockTimeout: number;
-	/** Called when the role or the term changes. */
+	/** Called when the role, the term or the followed primary is set. */
 	readonly onRoleChange: (role: Role, term: number) => void;
 };
 
@@ -30,9 +31,9 @@
 };
 
 /**
- * Creates an instance of a database group: an engine, its log, its term and its role.
+ * Creates an instance of a database group, with an SQL engine, a replicated log, a term and a role.
  *
- * Transactions are serial: one lock covers the engine from the first statement to the end.
+ * Transactions run serially: each holds one lock on the engine from its first statement to its end.
  */
 export function createInstance(options: Options) {
 	const engine = createEngine();
@@ -56,7 +57,7 @@
 		}
 	}
 
-	const setRole = (next: {term: number; owner: string; role: Role; primary: string}) => {
+	const applyRole = (next: {term: number; owner: string; role: Role; primary: string}) => {
 		({term, owner, role} = next);
 		primaryAddress = next.primary;
 		journal.write({kind: 'term', ...next});
@@ -107,7 +108,7 @@
 		}
 	};
 
-	const runInLock = (session: Session, request: BatchRequest, isWhole: boolean): BatchResponse => {
+	const runInLock = (session: Session, request: BatchRequest, isAutocommit: boolean): BatchResponse => {
 		if (session.isAborted || session.transaction === undefined || !checkTerm(request)) {
 			rollBack(session);
 			session.isAborted = false;
@@ -118,7 +119,7 @@
 			const response = runStatements(session, request);
 			if (request.rollback) {
 				end(session, 'ROLLBACK');
-			} else if (request.commit || isWhole) {
+			} else if (request.commit || isAutocommit) {
 				commit(session, request.readOnly);
 			}
 
@@ -132,13 +133,13 @@
 
 	return {
 		createReport,
-		/** The role, and a signal that is aborted when it changes. */
+		/** Returns the role and term, with a signal that is aborted when either is set again. */
 		getRole: () => ({
 			role, term, primaryAddress, signal: roleChange.signal,
 		}),
 		createSession,
 
-		/** Runs a batch of a connection. */
+		/** Runs a batch of a connection. Answers with a fault if the batch cannot run. */
 		async runBatch(session: Session, request: BatchRequest): Promise<BatchResponse> {
 			if (!checkTerm(request)) {
 				return runInLock(session, request, false);
@@ -154,10 +155,10 @@
 					await sleep(options.serviceTime);
 				}
 
-				const isWhole = !request.begin && session.transaction === undefined && !session.isAborted;
-				const isBegun = !(request.begin || isWhole) || await transactions.begin(session);
-				return isBegun
-					? runInLock(session, request, isWhole)
+				const isAutocommit = !request.begin && session.transaction === undefined && !session.isAborted;
+				const hasTransaction = !(request.begin || isAutocommit) || await transactions.begin(session);
+				return hasTransaction
+					? runInLock(session, request, isAutocommit)
 					: createFault(request, EndpointFault.BUSY, 'the write lock did not come free');
 			} finally {
 				session.isRunning = false;
@@ -169,18 +170,18 @@
 			}
 		},
 
-		/** Rolls back what a closed connection left open. */
+		/** Marks a connection as closed and rolls back its open transaction. */
 		closeSession(session: Session) {
 			session.isClosed = true;
 			rollBack(session);
 			transactions.leaveSlot(session);
 		},
 
-		/** Grants a term that is higher than all granted before, or the same one to its owner again. */
+		/** Grants a term to an owner if it is higher than all terms granted before, or if this owner already has it. */
 		fence(request: {readonly term: number; readonly owner: string}): boolean {
 			if (request.term > term) {
 				transactions.abortHolder();
-				setRole({
+				applyRole({
 					term: request.term, owner: request.owner, role: 'fenced', primary: '',
 				});
 				notifyPullWaiters();
@@ -189,14 +190,14 @@
 			return request.term === term && request.owner === owner;
 		},
 
-		/** Makes this instance the primary of the term that it granted to the owner. */
+		/** Makes this instance the primary of the term that it granted to this owner. Idempotent. */
 		promote(request: {readonly term: number; readonly owner: string}): boolean {
 			if (request.term !== term || request.owner !== owner || role === 'replica') {
 				return false;
 			}
 
 			if (role === 'fenced') {
-				setRole({
+				applyRole({
 					term, owner, role: 'primary', primary: '',
 				});
 				log.append(term, []);
@@ -206,14 +207,14 @@
 			return true;
 		},
 
-		/** Makes this instance a replica in a term. */
+		/** Makes this instance a replica of a primary in a term, unless the term is stale. */
 		follow(request: {readonly term: number; readonly primaryAddress: string}): boolean {
 			if (request.term < term || (request.term === term && role === 'primary')) {
 				return false;
 			}
 
 			transactions.abortHolder();
-			setRole({
+			applyRole({
 				term: request.term,
 				owner: request.term > term ? '' : owner,
 				role: 'replica',
@@ -222,7 +223,7 @@
 			return true;
 		},
 
-		/** Lists entries after a point for a replica; waits for new ones. */
+		/** Lists entries after a point for a replica. Waits up to `wait` milliseconds if there are none yet. */
 		async listEntries(request: {readonly term: number; readonly after: {readonly term: number; readonly position: bigint}; readonly wait: number}) {
 			const isServing = () => role === 'primary' && term === request.term;
 			if (!isServing()) {
@@ -244,10 +245,10 @@
 			return {isAccepted: isServing(), isDiverged: false, entries: isServing() ? log.listAfter(after.position) : []};
 		},
 
-		/** Applies a primary's entries after a point that both logs hold. */
+		/** Replaces all entries after a position by those of the primary. Both logs agree up to that position. */
 		async applyEntries(after: bigint, entries: readonly LogEntry[]) {
-			const isEntered = await lock.acquire(options.lockTimeout);
-			if (!isEntered) {
+			const isAcquired = await lock.acquire(options.lockTimeout);
+			if (!isAcquired) {
 				return;
 			}
 
--- a/stand-ins/endpoint/main.ts
+++ b/stand-ins/endpoint/main.ts
@@ -11,13 +11,13 @@
 import {createInstance} from './create-instance.ts';
 import {startReplication} from './start-replication.ts';
 
-const schema = z.strictObject({
+const settingsSchema = z.strictObject({
 	id: z.string(),
 	port: z.number(),
 	journalFile: z.string().optional(),
-	/** Primary to follow when the journal is empty; without it the instance starts as the primary of term 1. */
+	/** Address of the primary to follow if the journal is empty. Without it, the instance starts as the primary of term 1. */
 	primary: z.string().optional(),
-	/** Addresses at which this instance reaches the others, where they differ from those that hosts use. */
+	/** Addresses at which this instance reaches other instances, where they differ from those that hosts use. */
 	routes: z.record(z.string(), z.string()).default({}),
 	slots: z.number().default(5),
 	connectionLimit: z.number().default(35),
@@ -26,11 +26,11 @@
 	lag: z.number().default(0),
 	lockTimeout: z.number().default(1000),
 	pullWait: z.number().default(200),
-	/** Whether all that the instance receives is written to its output. */
+	/** Whether the instance prints every batch request to standard output. */
 	trace: z.boolean().default(false),
 });
 
-const settings = schema.parse(parse(readFileSync(process.argv[2] ?? '', 'utf8')));
+const settings = settingsSchema.parse(parse(readFileSync(process.argv[2] ?? '', 'utf8')));
 const events = createStdoutEventLog(settings.id);
 const instance = createInstance({
 	id: settings.id,
@@ -60,11 +60,11 @@
 	...settings,
 	readFault: () => fault,
 	takeDrop() {
-		const isTaken = fault.remainingSkips === 0 && fault.remainingDrops > 0;
+		const isDropped = fault.remainingSkips === 0 && fault.remainingDrops > 0;
 		fault = fault.remainingSkips > 0
 			? {...fault, remainingSkips: fault.remainingSkips - 1}
 			: {...fault, remainingDrops: Math.max(0, fault.remainingDrops - 1)};
-		return isTaken;
+		return isDropped;
 	},
 });
 const handler = connectNodeAdapter({
--- a/stand-ins/endpoint/send-with-fault.ts
+++ b/stand-ins/endpoint/send-with-fault.ts
@@ -8,10 +8,10 @@
 	readonly send: (response: BatchResponse) => void;
 };
 
-/** Distance from a batch's number to one that no batch has. */
+/** Added to the identifier of a batch to get one that no batch uses. */
 const strayIdOffset = 1_000_000;
 
-/** Sends an answer as the fault of the moment has it: late, not at all, or between strays. */
+/** Sends an answer subject to the current fault: delayed, dropped, or surrounded by stray answers. */
 export async function sendWithFault(response: BatchResponse, options: Options): Promise<void> {
 	const fault = options.readFault();
 	if (fault.delayMs > 0) {
--- a/stand-ins/endpoint/start-replication.ts
+++ b/stand-ins/endpoint/start-replication.ts
@@ -6,22 +6,22 @@
 
 type Options = {
 	readonly instance: ReturnType<typeof createInstance>;
-	/** Milliseconds between receipt and application of an entry. */
+	/** Milliseconds between receiving and applying an entry. */
 	readonly lag: number;
 };
 
-/** Milliseconds until the next attempt after a failed pull, and while there is no primary to follow. */
+/** Delay before the next pull after a failure, or while the instance has no primary to follow. */
 const retryDelayMs = 50;
 
-/** Milliseconds after which a pull without answer is given up. */
+/** Timeout of a pull request. */
 const pullTimeoutMs = 1000;
 
-/** Starts the loop in which an instance, while it is a replica, pulls entries from its primary. */
+/** Starts a loop that pulls entries from the primary while the instance is a replica. */
 export function startReplication({instance, lag}: Options): void {
-	void pullForever(instance, lag);
+	void runReplication(instance, lag);
 }
 
-async function pullForever(instance: Options['instance'], lag: number): Promise<never> {
+async function runReplication(instance: Options['instance'], lag: number): Promise<never> {
 	let client: {readonly address: string; readonly pull: ReturnType<typeof createPull>} | undefined;
 	let cursor: bigint | undefined;
 	for (;;) {
@@ -46,7 +46,7 @@
 				cursor = position - 1n;
 			} else if (pulled.accepted) {
 				cursor = undefined;
-				await applyLater(instance, {after: position, entries: pulled.entries, lag}); // eslint-disable-line no-await-in-loop
+				await applyWithLag(instance, {after: position, entries: pulled.entries, lag}); // eslint-disable-line no-await-in-loop
 			} else {
 				await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-async function applyLater(
+async function applyWithLag(
 	instance: Options['instance'],
 	pulled: {readonly after: bigint; readonly entries: readonly LogEntry[]; readonly lag: number},
 ): Promise<void> {
@@ -70,7 +70,7 @@
 
 function createPull(address: string) {
 	const client = createClient(EndpointService, createConnectTransport({baseUrl: address, httpVersion: '2'}));
-	// A pull from a former primary ends at once when the instance is told to follow another.
+	// The signal aborts a pull from a former primary as soon as the instance follows another.
 	return async (from: {readonly term: number; readonly position: bigint; readonly positionTerm: number}, signal: AbortSignal) => client.pull(
 		{term: from.term, after: {term: from.positionTerm, position: from.position}},
 		{timeoutMs: pullTimeoutMs, signal},
--- a/stand-ins/links/create-link.ts
+++ b/stand-ins/links/create-link.ts
@@ -5,17 +5,17 @@
 import type {Link} from './link.ts';
 import type {LinkFault} from './link-fault.ts';
 
-/** Milliseconds that a lost segment costs until it is sent again. */
-const retransmission = 200;
+/** Latency that a lost segment adds, as the retransmission timeout of TCP does. */
+const retransmissionDelayMs = 200;
 
-/** Milliseconds between two looks at whether a cut link has healed. */
-const healInterval = 10;
+/** Interval at which a partitioned link checks whether the partition has ended. */
+const partitionPollIntervalMs = 10;
 
 /**
- * Creates a relay for TCP connections to a port of this machine, which can delay, hold and reset them.
+ * Creates a TCP relay to a port of this machine that injects latency, loss, partitions and connection resets.
  *
- * @param targetPort Port to relay to.
- * @param options Fault at the start, and a source of random numbers from 0 to 1.
+ * @param targetPort Port to which the relay forwards connections.
+ * @param options Initial fault, and a generator of random numbers from 0 to 1.
  */
 export async function createLink(
 	targetPort: number,
@@ -26,17 +26,17 @@
 	let {fault} = options;
 
 	const findDelay = () => {
-		const lost = options.random() < fault.lossRate ? retransmission : 0;
-		return fault.delayMs + (options.random() * fault.jitterMs) + lost;
+		const retransmissionMs = options.random() < fault.lossRate ? retransmissionDelayMs : 0;
+		return fault.delayMs + (options.random() * fault.jitterMs) + retransmissionMs;
 	};
 
 	const relay = (from: Socket, to: Socket) => {
-		let readyAt = 0;
-		let sending = Promise.resolve();
-		const send = async (chunk: Buffer | undefined, at: number) => {
-			await wait(at - performance.now());
+		let lastDueAt = 0;
+		let lastSend = Promise.resolve();
+		const send = async (chunk: Buffer | undefined, dueAt: number) => {
+			await wait(dueAt - performance.now());
 			while (fault.isPartitioned) {
-				await wait(healInterval); // eslint-disable-line no-await-in-loop -- the bytes wait until the link heals
+				await wait(partitionPollIntervalMs); // eslint-disable-line no-await-in-loop -- holds the bytes until the partition ends
 			}
 
 			if (muted.has(from)) {
@@ -51,12 +51,12 @@
 		};
 
 		const schedule = (chunk: Buffer | undefined) => {
-			readyAt = Math.max(readyAt, performance.now() + findDelay());
-			const at = readyAt;
-			const before = sending;
-			sending = (async () => {
-				await before;
-				await send(chunk, at);
+			lastDueAt = Math.max(lastDueAt, performance.now() + findDelay());
+			const dueAt = lastDueAt;
+			const previousSend = lastSend;
+			lastSend = (async () => {
+				await previousSend;
+				await send(chunk, dueAt);
 			})();
 		};
 
@@ -74,14 +74,14 @@
 		});
 	};
 
-	const server = createServer(near => {
-		const far = connect(targetPort, '127.0.0.1');
-		near.setNoDelay(true);
-		far.setNoDelay(true);
-		sockets.add(near);
-		sockets.add(far);
-		relay(near, far);
-		relay(far, near);
+	const server = createServer(client => {
+		const target = connect(targetPort, '127.0.0.1');
+		client.setNoDelay(true);
+		target.setNoDelay(true);
+		sockets.add(client);
+		sockets.add(target);
+		relay(client, target);
+		relay(target, client);
 	});
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
--- a/stand-ins/links/link-fault.ts
+++ b/stand-ins/links/link-fault.ts
@@ -1,11 +1,11 @@
-/** What a link does to the bytes on it. */
+/** Network conditions that a link simulates. */
 export type LinkFault = {
-	/** Milliseconds that each segment takes. */
+	/** One-way latency of each segment. */
 	readonly delayMs: number;
-	/** Milliseconds that a segment may take longer. */
+	/** Largest random latency added to a segment. */
 	readonly jitterMs: number;
-	/** Share of segments that are lost and sent again. */
+	/** Fraction of segments that are lost and retransmitted, from 0 to 1. */
 	readonly lossRate: number;
-	/** Whether the link holds all bytes until it heals. */
+	/** Whether the link holds all bytes until the partition ends. */
 	readonly isPartitioned: boolean;
 };
--- a/stand-ins/links/link.ts
+++ b/stand-ins/links/link.ts
@@ -1,13 +1,15 @@
 import process from 'node:process';
 import type {LinkFault} from './link-fault.ts';
 
-/** A relay for connections to one process. */
+/** A relay for TCP connections to one process. */
 export type Link = {
 	readonly port: number;
+	/** Changes the fault. Omitted properties keep their values. */
 	readonly setFault: (fault: Partial<LinkFault>) => void;
-	/** Closes the connections that are open; new ones work. */
+	/** Closes the open connections. New connections work. */
 	readonly reset: () => void;
-	/** Silences the connections that are open for good; new ones work. */
+	/** Discards all further bytes on the open connections, which stay open. New connections work. */
 	readonly mute: () => void;
+	/** Closes the relay and all its connections. */
 	readonly close: () => void;
 };
--- a/stand-ins/platform/create-platform.ts
+++ b/stand-ins/platform/create-platform.ts
@@ -6,48 +6,48 @@
 	type ListFleetResponse, type PlatformFault,
 } from '@sapphirefall/wire';
 
-/** The platform: a table with compare-and-set, an object store, and a list of hosts and groups. */
+/** A simulated platform: a table with compare-and-set, an object store, and a list of hosts and groups. */
 type Platform = {
-	/** Creates the routes of one availability zone, whose list has the addresses that lead from there. */
+	/** Creates the routes for one availability zone. The fleet list holds addresses that are reachable from that zone. */
 	readonly createRoutes: (fleet: ListFleetResponse) => (router: ConnectRouter) => void;
 };
 
 /**
- * Creates the platform. Its faults are set by command.
+ * Creates an in-memory platform. Faults are injected through `PlatformFaultService`.
  *
- * @param onWritten Called when a row of the table is written, also when the answer is lost.
+ * @param onRowWritten Called when a row of the table is written, even if the answer is lost.
  */
-export function createPlatform(onWritten: (row: string, version: number) => void): Platform {
+export function createPlatform(onRowWritten: (row: string, version: number) => void): Platform {
 	const rows = new Map<string, {version: number; value: string}>();
 	const objects = new Map<string, Uint8Array>();
 	let fault: PlatformFault = create(PlatformFaultSchema, {});
 	let reads = 0;
 	let writes = 0;
 
-	const suffer = async () => {
+	const simulateFault = async () => {
 		await sleep(fault.delayMs);
 		if (fault.down) {
 			throw new ConnectError('the platform is down', Code.Unavailable);
 		}
 	};
 
-	const loseAnswer = () => {
+	const throwIfAnswerLost = () => {
 		if (fault.lostAnswers > 0) {
 			fault = {...fault, lostAnswers: fault.lostAnswers - 1};
 			throw new ConnectError('the answer was lost', Code.Unavailable);
 		}
 	};
 
-	const addTable = (router: ConnectRouter) => {
+	const addTableService = (router: ConnectRouter) => {
 		router.service(TableService, {
 			async readRow({name}) {
 				reads++;
-				await suffer();
+				await simulateFault();
 				return rows.get(name) ?? {version: 0, value: ''};
 			},
 			async writeRow({name, expectedVersion, value}) {
 				writes++;
-				await suffer();
+				await simulateFault();
 				const row = rows.get(name) ?? {version: 0, value: ''};
 				if (row.version !== expectedVersion) {
 					return {written: false, row};
@@ -55,18 +55,18 @@
 
 				const written = {version: row.version + 1, value};
 				rows.set(name, written);
-				onWritten(name, written.version);
-				loseAnswer();
+				onRowWritten(name, written.version);
+				throwIfAnswerLost();
 				return {written: true, row: written};
 			},
 		});
 	};
 
-	const addObjects = (router: ConnectRouter) => {
+	const addObjectService = (router: ConnectRouter) => {
 		router.service(ObjectService, {
 			async readObject({name}) {
 				reads++;
-				await suffer();
+				await simulateFault();
 				const body = objects.get(name);
 				if (body === undefined) {
 					throw new ConnectError(`the object "${name}" does not exist`, Code.NotFound);
@@ -76,7 +76,7 @@
 			},
 			async writeObject({name, body}) {
 				writes++;
-				await suffer();
+				await simulateFault();
 				objects.set(name, body);
 				return {};
 			},
@@ -85,12 +85,12 @@
 
 	return {
 		createRoutes: fleet => router => {
-			addTable(router);
-			addObjects(router);
+			addTableService(router);
+			addObjectService(router);
 			router.service(FleetService, {
 				async listFleet() {
 					reads++;
-					await suffer();
+					await simulateFault();
 					return applyListFault(fleet, {departing: new Set(fault.departing), unlisted: new Set(fault.unlisted)});
 				},
 			});
@@ -104,7 +104,7 @@
 	};
 }
 
-/** Marks the hosts and instances that depart, and leaves out those that the list does not hold. */
+/** Marks departing hosts and instances, and omits unlisted hosts. */
 function applyListFault(
 	fleet: ListFleetResponse,
 	{departing, unlisted}: {readonly departing: ReadonlySet<string>; readonly unlisted: ReadonlySet<string>},
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -8,7 +8,7 @@
 import {createStdoutEventLog} from '../cluster/create-stdout-event-log.ts';
 import {createPlatform} from './create-platform.ts';
 
-/** What one availability zone sees of the platform: a port of its own, and the addresses that lead from the zone. */
+/** The view of one availability zone: a port on which the platform listens, and a fleet list with addresses that are reachable from the zone. */
 type ZoneView = {readonly port: number; readonly fleet: JsonValue};
 
 const {views} = parse(readFileSync(process.argv[2] ?? '', 'utf8')) as {readonly views: readonly ZoneView[]};
