--- a/stand-ins/demo/run-demo.ts
+++ b/stand-ins/demo/run-demo.ts
@@ -13,13 +13,13 @@
 
 const key = 'demo-key-of-the-upper-ponds';
 
-/** Milliseconds after which a withdrawn key must be refused on every host. */
-const withdrawalLimit = 5000;
+/** Time limit within which every host must refuse a withdrawn key. */
+const revocationLimitMs = 5000;
 
-/** Milliseconds for which writes may pause while a killed primary is replaced. */
-const failoverLimit = 5000;
+/** Time limit for a write that waits for the failover of a killed primary. */
+const failoverLimitMs = 5000;
 
-/** Plays a short day of Pondbook against a cluster; resolves to the exit code. */
+/** Runs the demo, a sequence of checked requests and changes, against a new cluster. Resolves to the exit code. */
 export async function runDemo(): Promise<number> {
 	const startedAt = performance.now();
 	console.log('Starting a platform, three endpoint instances and three entry hosts');
@@ -34,22 +34,22 @@
 		endpoint: {lag: 20},
 		seed: 1,
 	});
-	const day = createDay(cluster);
+	const runner = createDemoRunner(cluster);
 	try {
-		await playDay(cluster, day);
+		await runSteps(cluster, runner);
 		const seconds = ((performance.now() - startedAt) / 1000).toFixed(1);
-		console.log(`demo: ${day.countSteps()} steps, all results right, ${seconds} s`);
+		console.log(`demo: ${runner.countSteps()} steps, all results right, ${seconds} s`);
 		return resultCodes.done;
 	} catch (error) {
-		console.log(`demo: wrong result in "${day.lastStep()}": ${(error as Error).message}`);
+		console.log(`demo: wrong result in "${runner.lastStep()}": ${(error as Error).message}`);
 		return 1;
 	} finally {
 		await cluster.stop();
 	}
 }
 
-/** The steps of a demo, each printed with its code and latency. */
-type Day = {
+/** Runs the stepCount of the demo, and prints each with its result code and latency. */
+type DemoRunner = {
 	readonly call: (title: string, host: string, call: Call) => Promise<ExecuteResponse>;
 	readonly change: (title: string, change: ChangeRequest['change']) => Promise<number>;
 	readonly print: (title: string, code: number, milliseconds: number) => void;
@@ -57,69 +57,69 @@
 	readonly lastStep: () => string;
 };
 
-function createDay(cluster: Cluster): Day {
-	let steps = 0;
-	let last = '';
+function createDemoRunner(cluster: Cluster): DemoRunner {
+	let stepCount = 0;
+	let lastTitle = '';
 	const print = (title: string, code: number, milliseconds: number) => {
-		steps++;
+		stepCount++;
 		console.log(`${milliseconds.toFixed(1).padStart(9)} ms  code ${String(code).padStart(2)}  ${title}`);
 	};
 
 	return {
 		async call(title, host, call) {
-			last = title;
+			lastTitle = title;
 			const sentAt = performance.now();
 			const response = await cluster.caller(host, key).execute(call);
 			print(title, findResultCode(response), performance.now() - sentAt);
 			return response;
 		},
 		async change(title, change) {
-			last = title;
+			lastTitle = title;
 			const sentAt = performance.now();
 			const {code} = await cluster.operator('host-a1').change({changeId: randomUUID(), change});
 			print(title, code, performance.now() - sentAt);
 			return code;
 		},
 		print,
-		countSteps: () => steps,
-		lastStep: () => last,
+		countSteps: () => stepCount,
+		lastStep: () => lastTitle,
 	};
 }
 
-async function playDay(cluster: Cluster, day: Day): Promise<void> {
-	await configure(day);
-	await waitForVersion(cluster, 4);
-	const session = await bookCrew(day);
-	await transferCredits(day);
-	await readReports(day, session);
-	await replacePrimary(cluster, {day, session});
-	await withdrawKey(cluster, day);
+async function runSteps(cluster: Cluster, runner: DemoRunner): Promise<void> {
+	await configure(runner);
+	await waitForConfiguration(cluster, 4);
+	const session = await bookCrew(runner);
+	await transferCredits(runner);
+	await readReports(runner, session);
+	await replacePrimary(cluster, {runner, session});
+	await withdrawKey(cluster, runner);
 }
 
-async function configure(day: Day): Promise<void> {
-	expect(await day.change('Operator creates the workspace "upper"', {
+async function configure(runner: DemoRunner): Promise<void> {
+	expect(await runner.change('Operator creates the workspace "upper"', {
 		case: 'setWorkspace',
 		value: {
 			$typeName: 'sapphirefall.v1.SetWorkspace', workspace: 'upper', rate: 3000, burst: 3000, databases: ['pondbook'],
 		},
 	})).to.equal(resultCodes.done);
-	expect(await day.change('Operator gives the workspace a key', {
+	expect(await runner.change('Operator gives the workspace a key', {
 		case: 'addKey',
 		value: {
 			$typeName: 'sapphirefall.v1.AddKey', workspace: 'upper', keyId: 'upper-1', digest: createHash('sha256').update(key).digest('hex'),
 		},
 	})).to.equal(resultCodes.done);
-	expect(await day.change('Operator sets season reports to within 10 s', {
+	expect(await runner.change('Operator sets season reports to within 10 s', {
 		case: 'setFreshness',
 		value: {$typeName: 'sapphirefall.v1.SetFreshness', kind: 'season-report', freshness: 'within 10s'},
 	})).to.equal(resultCodes.done);
-	expect(await day.change('Operator gives an exception without a reason and is refused', {
+	expect(await runner.change('Operator gives an exception without a reason and is refused', {
 		case: 'setException',
 		value: {
 			$typeName: 'sapphirefall.v1.SetException', workspace: 'upper', kind: 'season-report', freshness: 'latest', reason: '',
 		},
 	})).to.equal(resultCodes.changeInvalid);
-	expect(await day.change('Operator gives one for an unknown kind of read and is refused', {
+	expect(await runner.change('Operator gives one for an unknown kind of read and is refused', {
 		case: 'setException',
 		value: {
 			$typeName: 'sapphirefall.v1.SetException',
@@ -129,13 +129,13 @@
 			reason: 'the auditors compare books with the bank',
 		},
 	})).to.equal(resultCodes.nameUnknown);
-	expect(await day.change('Operator names the kind of read first', {
+	expect(await runner.change('Operator names the kind of read first', {
 		case: 'setFreshness',
 		value: {$typeName: 'sapphirefall.v1.SetFreshness', kind: 'audit', freshness: 'within 1m'},
 	})).to.equal(resultCodes.done);
 }
 
-async function waitForVersion(cluster: Cluster, version: number): Promise<void> {
+async function waitForConfiguration(cluster: Cluster, version: number): Promise<void> {
 	for (const host of cluster.hosts) {
 		let known = 0;
 		while (known < version) {
@@ -145,8 +145,8 @@
 	}
 }
 
-async function bookCrew(day: Day): Promise<string> {
-	const tables = await day.call('Tables are created in one transaction', 'host-a1', {
+async function bookCrew(runner: DemoRunner): Promise<string> {
+	const tables = await runner.call('Tables are created in one transaction', 'host-a1', {
 		database: 'pondbook',
 		statements: [
 			createStatement('CREATE TABLE booking (id INTEGER PRIMARY KEY, pond TEXT, crew TEXT)'),
@@ -156,14 +156,14 @@
 		kind: {case: 'write', value: {idempotencyKey: 'tables', repeatable: false}},
 	});
 	expect(findResultCode(tables)).to.equal(resultCodes.done);
-	const booked = await day.call('Inspector books a puddling crew', 'host-a1', {
+	const booked = await runner.call('Inspector books a puddling crew', 'host-a1', {
 		database: 'pondbook',
 		statements: [createStatement('INSERT INTO booking (pond, crew) VALUES (?, ?)', ['North Hollow', 'Dawn crew'])],
 		kind: {case: 'write', value: {idempotencyKey: 'booking-1', repeatable: false}},
 	});
 	expect(findResultCode(booked)).to.equal(resultCodes.done);
 	const session = booked.answer.case === 'done' ? booked.answer.value.session : '';
-	const seen = await day.call('Inspector reads the booking in session through a host in another zone', 'host-b1', {
+	const seen = await runner.call('Inspector reads the booking in session through a host in another zone', 'host-b1', {
 		database: 'pondbook',
 		session,
 		statements: [createStatement('SELECT pond, crew FROM booking')],
@@ -173,7 +173,7 @@
 	return session;
 }
 
-async function transferCredits(day: Day): Promise<void> {
+async function transferCredits(runner: DemoRunner): Promise<void> {
 	const transfer: Call = {
 		database: 'pondbook',
 		statements: [
@@ -182,14 +182,14 @@
 		],
 		kind: {case: 'write', value: {idempotencyKey: 'transfer-1', repeatable: false}},
 	};
-	expect(findResultCode(await day.call('Treasurer transfers credits with an idempotency key', 'host-a1', transfer))).to.equal(resultCodes.done);
-	const repeated = await day.call('Treasurer repeats the transfer through another host', 'host-c1', transfer);
+	expect(findResultCode(await runner.call('Treasurer transfers credits with an idempotency key', 'host-a1', transfer))).to.equal(resultCodes.done);
+	const repeated = await runner.call('Treasurer repeats the transfer through another host', 'host-c1', transfer);
 	expect(repeated.answer.case === 'done' && repeated.answer.value.replayed).to.equal(true);
-	const reused = await day.call('The same key with another amount is refused', 'host-b1', {
+	const reused = await runner.call('The same key with another amount is refused', 'host-b1', {
 		...transfer, statements: [createStatement('UPDATE household SET credits = credits + ?', [100])],
 	});
 	expect(findResultCode(reused)).to.equal(resultCodes.idempotencyKeyReused);
-	const balance = await day.call('Treasurer reads the latest balances', 'host-b1', {
+	const balance = await runner.call('Treasurer reads the latest balances', 'host-b1', {
 		database: 'pondbook',
 		statements: [createStatement('SELECT credits FROM household ORDER BY name')],
 		kind: {case: 'read', value: {freshness: 'latest'}},
@@ -197,16 +197,16 @@
 	expect(listRows(balance)).to.deep.equal([[6n], [4n]]);
 }
 
-async function readReports(day: Day, session: string): Promise<void> {
+async function readReports(runner: DemoRunner, session: string): Promise<void> {
 	await sleep(300);
-	const report = await day.call('Member reads a season report within 10 s, from a replica', 'host-c1', {
+	const report = await runner.call('Member reads a season report within 10 s, from a replica', 'host-c1', {
 		database: 'pondbook',
 		statements: [createStatement('SELECT count(*) FROM booking')],
 		kind: {case: 'read', value: {kind: 'season-report'}},
 	});
 	expect(listRows(report)).to.deep.equal([[1n]]);
 	expect(report.answer.case === 'done' && report.answer.value.instance).to.equal('pondbook-c');
-	const forged = await day.call('A forged session token is refused', 'host-c1', {
+	const forged = await runner.call('A forged session token is refused', 'host-c1', {
 		database: 'pondbook',
 		session: `${session}x`,
 		statements: [createStatement('SELECT 1')],
@@ -217,20 +217,20 @@
 
 async function replacePrimary(
 	cluster: Cluster,
-	{day, session}: {readonly day: Day; readonly session: string},
+	{runner, session}: {readonly runner: DemoRunner; readonly session: string},
 ): Promise<void> {
 	cluster.child('pondbook-a').signal('SIGKILL');
 	const startedAt = performance.now();
-	const booked = await day.call('Inspector books while the primary is dead; it is replaced', 'host-b1', {
+	const booked = await runner.call('Inspector books while the primary is dead; it is replaced', 'host-b1', {
 		database: 'pondbook',
 		session,
 		statements: [createStatement('INSERT INTO booking (pond, crew) VALUES (?, ?)', ['South Hollow', 'Late crew'])],
 		kind: {case: 'write', value: {idempotencyKey: 'booking-2', repeatable: false}},
-		deadlineMs: failoverLimit,
+		deadlineMs: failoverLimitMs,
 	});
 	expect(findResultCode(booked)).to.equal(resultCodes.done);
-	expect(performance.now() - startedAt).to.be.lessThan(failoverLimit);
-	const seen = await day.call('Nothing was lost, nothing doubled', 'host-c1', {
+	expect(performance.now() - startedAt).to.be.lessThan(failoverLimitMs);
+	const seen = await runner.call('Nothing was lost, nothing doubled', 'host-c1', {
 		database: 'pondbook',
 		statements: [
 			createStatement('SELECT (SELECT count(*) FROM booking), (SELECT sum(credits) FROM household)'),
@@ -240,8 +240,8 @@
 	expect(listRows(seen)).to.deep.equal([[2n, 10n]]);
 }
 
-async function withdrawKey(cluster: Cluster, day: Day): Promise<void> {
-	expect(await day.change('Operator withdraws the key', {
+async function withdrawKey(cluster: Cluster, runner: DemoRunner): Promise<void> {
+	expect(await runner.change('Operator withdraws the key', {
 		case: 'withdrawKey', value: {$typeName: 'sapphirefall.v1.WithdrawKey', keyId: 'upper-1'},
 	})).to.equal(resultCodes.done);
 	const withdrawnAt = performance.now();
@@ -255,10 +255,10 @@
 		do {
 			await sleep(10); // eslint-disable-line no-await-in-loop
 			code = findResultCode(await cluster.caller(host, key).execute(call)); // eslint-disable-line no-await-in-loop
-		} while (code !== resultCodes.keyUnknown && performance.now() - withdrawnAt < withdrawalLimit);
+		} while (code !== resultCodes.keyUnknown && performance.now() - withdrawnAt < revocationLimitMs);
 
 		expect(code).to.equal(resultCodes.keyUnknown);
 	}
 
-	day.print('The key is refused on every host', resultCodes.keyUnknown, performance.now() - withdrawnAt);
+	runner.print('The key is refused on every host', resultCodes.keyUnknown, performance.now() - withdrawnAt);
 }
--- a/stand-ins/endpoint/_session.ts
+++ b/stand-ins/endpoint/_session.ts
@@ -13,6 +13,6 @@
 	hasSlot: boolean;
 	/** Whether a batch of the connection is running. */
 	isRunning: boolean;
-	/** Whether the connection has closed. A batch that acquires the lock afterwards is rolled back as soon as it has run. */
+	/** Whether the connection has closed. A transaction that a waiting batch still begins is then rolled back when the batch ends. */
 	isClosed: boolean;
 };
--- a/stand-ins/endpoint/main.ts
+++ b/stand-ins/endpoint/main.ts
@@ -75,7 +75,7 @@
 				delayMs, dropped, skipped, strays,
 			}) {
 				fault = {
-					delayMs: delayMs, remainingDrops: dropped, remainingSkips: skipped, hasStrays: strays,
+					delayMs, remainingDrops: dropped, remainingSkips: skipped, hasStrays: strays,
 				};
 				return {};
 			},
--- a/stand-ins/wire/open-wire-client.ts
+++ b/stand-ins/wire/open-wire-client.ts
@@ -5,25 +5,25 @@
 
 type Answer = Awaited<WireClient['started']>;
 
-/** Opens a session of a caller at a host. */
+/** Opens a session with a host over the wire protocol. */
 export function openWireClient(port: number, {database, key}: {readonly database: string; readonly key: string}): WireClient {
 	const socket = connect({host: '127.0.0.1', port, noDelay: true});
-	const waiting: Array<(answer: Answer) => void> = [];
-	let rest = '';
+	const pending: Array<(answer: Answer) => void> = [];
+	let partialLine = '';
 	let rows: string[] = [];
 	let result = '';
 	let isClosed = false;
 
-	const take = (line: string) => {
-		const [word = '', first = ''] = line.split(' ');
-		if (word === 'DATAROW') {
-			rows.push(first);
-		} else if (word === 'READY') {
-			waiting.shift()?.({rows, result, state: first});
+	const handleLine = (line: string) => {
+		const [command = '', argument = ''] = line.split(' ');
+		if (command === 'DATAROW') {
+			rows.push(argument);
+		} else if (command === 'READY') {
+			pending.shift()?.({rows, result, state: argument});
 			rows = [];
 			result = '';
 		} else {
-			result = `${word} ${first}`;
+			result = `${command} ${argument}`;
 		}
 	};
 
@@ -31,22 +31,22 @@
 		if (isClosed) {
 			resolve({rows: [], result: '', state: ''});
 		} else {
-			waiting.push(resolve);
+			pending.push(resolve);
 			socket.write(bytes);
 		}
 	});
 
-	socket.on('data', (piece: Buffer) => {
-		const lines = (rest + piece.toString('latin1')).split('\r\n');
-		rest = lines.pop() ?? '';
+	socket.on('data', (chunk: Buffer) => {
+		const lines = (partialLine + chunk.toString('latin1')).split('\r\n');
+		partialLine = lines.pop() ?? '';
 		for (const line of lines) {
-			take(line);
+			handleLine(line);
 		}
 	});
 	socket.on('error', () => undefined);
 	socket.on('close', () => {
 		isClosed = true;
-		for (const resolve of waiting.splice(0)) {
+		for (const resolve of pending.splice(0)) {
 			resolve({rows, result, state: ''});
 		}
 	});
--- a/stand-ins/wire/start-instance-stand-in.ts
+++ b/stand-ins/wire/start-instance-stand-in.ts
@@ -7,29 +7,31 @@
 	readonly id: string;
 	readonly group: string;
 	readonly role: 'primary' | 'replica';
-	/** Called with each commit of a primary. */
+	/** Called for each commit while the instance is the primary. */
 	readonly onCommit: (entry: LogEntry) => void;
 };
 
-/** What a connection holds. */
-type Held = {
+/** State of a connection. */
+type ConnectionState = {
+	/** Idle, in a transaction, or in a failed transaction. */
 	state: 'I' | 'T' | 'E';
 	isReadOnly: boolean;
+	/** Uncommitted writes of the open transaction. */
 	writes: Array<readonly [string, string]>;
-	readonly values: Map<string, string>;
+	readonly variables: Map<string, string>;
 	readonly prepared: Map<string, string>;
 };
 
-/** Starts a stand-in of an endpoint instance on a free port of the loopback address. */
-export async function startInstanceStandIn({id, group, role: firstRole, onCommit}: Options): Promise<InstanceStandIn> {
-	const ran: Array<{readonly id: string; readonly text: string}> = [];
-	const callers: string[] = [];
+/** Starts a simulated instance on a free port of the loopback address. */
+export async function startInstanceStandIn({id, group, role: initialRole, onCommit}: Options): Promise<InstanceStandIn> {
+	const executedStatements: Array<{readonly id: string; readonly text: string}> = [];
+	const sessionWorkspaces: string[] = [];
 	const sockets = new Set<Socket>();
-	let role = firstRole;
+	let role = initialRole;
 	let term = 1;
 	let log: LogEntry[] = [];
-	let isDark = false;
-	let answersToLose = 0;
+	let isUnresponsive = false;
+	let remainingLostAnswers = 0;
 
 	const findPosition = () => {
 		const last = log.at(-1);
@@ -37,12 +39,12 @@
 	};
 
 	const hasPosition = (position: string) => {
-		const [wantedTerm = 0, wantedNumber = 0] = position.split('.').map(Number);
+		const [requiredTerm = 0, requiredNumber = 0] = position.split('.').map(Number);
 		const last = log.at(-1);
-		return wantedNumber === 0 || (last !== undefined && (last.term > wantedTerm || (last.term === wantedTerm && last.number >= wantedNumber)));
+		return requiredNumber === 0 || (last !== undefined && (last.term > requiredTerm || (last.term === requiredTerm && last.number >= requiredNumber)));
 	};
 
-	const readItem = (item: string, held: Held) => [...log.flatMap(({writes}) => writes), ...held.writes].findLast(([name]) => name === item)?.[1] ?? '';
+	const readValue = (item: string, connection: ConnectionState) => [...log.flatMap(({writes}) => writes), ...connection.writes].findLast(([name]) => name === item)?.[1] ?? '';
 
 	const commit = (writes: LogEntry['writes']) => {
 		const entry = {term, number: (log.at(-1)?.number ?? 0) + 1, writes};
@@ -50,30 +52,30 @@
 		onCommit(entry);
 	};
 
-	const run = (held: Held, text: string): readonly string[] => {
-		const [word = '', first = '', second = ''] = text.split(' ');
-		if (word === 'AFTER') {
-			return hasPosition(first) ? run(held, text.split(' ').slice(2).join(' ')) : [`ERROR LAGGING ${id}`];
+	const runStatement = (connection: ConnectionState, text: string): readonly string[] => {
+		const [command = '', first = '', second = ''] = text.split(' ');
+		if (command === 'AFTER') {
+			return hasPosition(first) ? runStatement(connection, text.split(' ').slice(2).join(' ')) : [`ERROR LAGGING ${id}`];
 		}
 
-		if (word === 'EXECUTE') {
-			const access = held.prepared.get(first);
-			return access === undefined ? ['ERROR NOSTMT no such name'] : run(held, `${access} ${text.split(' ').slice(2).join(' ')}`);
+		if (command === 'EXECUTE') {
+			const access = connection.prepared.get(first);
+			return access === undefined ? ['ERROR NOSTMT no such name'] : runStatement(connection, `${access} ${text.split(' ').slice(2).join(' ')}`);
 		}
 
-		switch (word) {
+		switch (command) {
 			case 'READ': {
-				return [`DATAROW ${readItem(first, held)}`, `COMPLETE ${id}`];
+				return [`DATAROW ${readValue(first, connection)}`, `COMPLETE ${id}`];
 			}
 
 			case 'WRITE': {
-				if (role !== 'primary' || held.isReadOnly) {
-					held.state = held.state === 'T' ? 'E' : held.state;
+				if (role !== 'primary' || connection.isReadOnly) {
+					connection.state = connection.state === 'T' ? 'E' : connection.state;
 					return [`ERROR READONLY ${id}`];
 				}
 
-				if (held.state === 'T') {
-					held.writes.push([first, second]);
+				if (connection.state === 'T') {
+					connection.writes.push([first, second]);
 				} else {
 					commit([[first, second]]);
 				}
@@ -86,42 +88,42 @@
 					return [`ERROR READONLY ${id}`];
 				}
 
-				held.state = 'T';
-				held.isReadOnly = first === 'READ';
+				connection.state = 'T';
+				connection.isReadOnly = first === 'READ';
 				return ['COMPLETE -'];
 			}
 
 			case 'COMMIT':
 			case 'ROLLBACK': {
-				if (word === 'COMMIT' && held.writes.length > 0) {
-					commit(held.writes);
+				if (command === 'COMMIT' && connection.writes.length > 0) {
+					commit(connection.writes);
 				}
 
-				held.state = 'I';
-				held.isReadOnly = false;
-				held.writes = [];
-				return [word === 'COMMIT' ? `COMPLETE ${id}` : 'COMPLETE -'];
+				connection.state = 'I';
+				connection.isReadOnly = false;
+				connection.writes = [];
+				return [command === 'COMMIT' ? `COMPLETE ${id}` : 'COMPLETE -'];
 			}
 
 			case 'SET': {
-				held.values.set(first, second);
+				connection.variables.set(first, second);
 				return ['COMPLETE -'];
 			}
 
 			case 'PREPARE': {
-				held.prepared.set(first, second);
+				connection.prepared.set(first, second);
 				return ['COMPLETE -'];
 			}
 
 			case 'RESET': {
-				held.values.clear();
-				held.prepared.clear();
+				connection.variables.clear();
+				connection.prepared.clear();
 				return ['COMPLETE -'];
 			}
 
 			case 'STATUS':
 			case 'STEPDOWN': {
-				if (word === 'STEPDOWN' && Number(first) > term) {
+				if (command === 'STEPDOWN' && Number(first) > term) {
 					role = 'replica';
 				}
 
@@ -134,42 +136,42 @@
 		}
 	};
 
-	const answer = (socket: Socket, held: Held, line: string) => {
-		const [word = '', first = '', ...rest] = line.split(' ');
-		if (word === 'START') {
-			callers.push(rest[0] ?? '');
-			const isMeant = first === group && rest[1] === id;
-			socket.write(isMeant ? `READY I ${findPosition()}\r\n` : 'ERROR MOVED another\r\n');
+	const answer = (socket: Socket, connection: ConnectionState, line: string) => {
+		const [command = '', first = '', ...rest] = line.split(' ');
+		if (command === 'START') {
+			sessionWorkspaces.push(rest[0] ?? '');
+			const isExpectedTarget = first === group && rest[1] === id;
+			socket.write(isExpectedTarget ? `READY I ${findPosition()}\r\n` : 'ERROR MOVED another\r\n');
 			return;
 		}
 
 		if (first !== '-') {
-			ran.push({id: first, text: rest.join(' ')});
+			executedStatements.push({id: first, text: rest.join(' ')});
 		}
 
-		const lines = run(held, rest.join(' '));
-		if (first !== '-' && answersToLose > 0) {
-			answersToLose--;
+		const lines = runStatement(connection, rest.join(' '));
+		if (first !== '-' && remainingLostAnswers > 0) {
+			remainingLostAnswers--;
 			socket.destroy();
 			return;
 		}
 
-		socket.write([...lines, `READY ${held.state} ${findPosition()}`, ''].join('\r\n'));
+		socket.write([...lines, `READY ${connection.state} ${findPosition()}`, ''].join('\r\n'));
 	};
 
 	const server = createServer(socket => {
-		const held: Held = {
-			state: 'I', isReadOnly: false, writes: [], values: new Map(), prepared: new Map(),
+		const connection: ConnectionState = {
+			state: 'I', isReadOnly: false, writes: [], variables: new Map(), prepared: new Map(),
 		};
 		let rest = '';
 		sockets.add(socket);
 		socket.on('close', () => sockets.delete(socket));
 		socket.on('error', () => undefined);
-		socket.on('data', (piece: Buffer) => {
-			const lines = (rest + piece.toString('latin1')).split('\r\n');
+		socket.on('data', (chunk: Buffer) => {
+			const lines = (rest + chunk.toString('latin1')).split('\r\n');
 			rest = lines.pop() ?? '';
-			for (const line of isDark ? [] : lines) {
-				answer(socket, held, line);
+			for (const line of isUnresponsive ? [] : lines) {
+				answer(socket, connection, line);
 			}
 		});
 	});
@@ -182,8 +184,8 @@
 		role: () => role,
 		term: () => term,
 		log: () => log,
-		executedStatements: () => ran,
-		sessionWorkspaces: () => callers,
+		executedStatements: () => executedStatements,
+		sessionWorkspaces: () => sessionWorkspaces,
 		appendEntry(entry) {
 			log.push(entry);
 		},
@@ -197,10 +199,10 @@
 			log = [...newLog];
 		},
 		stopAnswering() {
-			isDark = true;
+			isUnresponsive = true;
 		},
 		loseAnswers(count) {
-			answersToLose = count;
+			remainingLostAnswers = count;
 		},
 		close() {
 			for (const socket of sockets) {
--- a/stand-ins/wire/start-store-stand-in.ts
+++ b/stand-ins/wire/start-store-stand-in.ts
@@ -1,4 +1,4 @@
-/* eslint-disable @typescript-eslint/naming-convention -- the platform's names */
+/* eslint-disable @typescript-eslint/naming-convention -- names defined by the platform */
 import {Buffer} from 'node:buffer';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -13,15 +13,15 @@
 	readonly delete?: ReadonlyArray<{readonly table: string; readonly key: string}>;
 };
 
-/** Starts a stand-in of the platform's store on a free port of the loopback address. */
+/** Starts a simulated store of the platform on a free port of the loopback address. */
 export async function startStoreStandIn(): Promise<StoreStandIn> {
 	const rows = new Map<string, Row>();
-	const waiting = new Set<() => void>();
+	const waiters = new Set<() => void>();
 	let history: Row[] = [];
-	let forgottenUpTo = 0;
+	let compactedVersion = 0;
 	let version = 0;
-	let mode: Parameters<StoreStandIn['setMode']>[0] = 'ready';
-	let answersToLose = 0;
+	let mode: Parameters<StoreStandIn['setMode']>[0] = 'available';
+	let remainingLostAnswers = 0;
 
 	const write = (changes: ReadonlyArray<Omit<Row, 'ver'>>) => {
 		version++;
@@ -35,8 +35,8 @@
 			}
 		}
 
-		for (const wake of waiting) {
-			wake();
+		for (const notify of waiters) {
+			notify();
 		}
 	};
 
@@ -47,8 +47,8 @@
 
 	const commit = async (request: IncomingMessage, response: ServerResponse) => {
 		const change = JSON.parse(await text(request)) as Change;
-		const isMet = (change.expected_rev ?? []).every(({table, key, ver}) => (rows.get(`${table}/${key}`)?.ver ?? 0) === ver);
-		if (!isMet) {
+		const hasExpectedVersions = (change.expected_rev ?? []).every(({table, key, ver}) => (rows.get(`${table}/${key}`)?.ver ?? 0) === ver);
+		if (!hasExpectedVersions) {
 			reply(response, 412, {rows: []});
 			return;
 		}
@@ -57,8 +57,8 @@
 			...(change.put ?? []).map(({table, key, value}) => ({table, key, value})),
 			...(change.delete ?? []).map(({table, key}) => ({table, key, tombstone: true})),
 		]);
-		if (answersToLose > 0) {
-			answersToLose--;
+		if (remainingLostAnswers > 0) {
+			remainingLostAnswers--;
 			request.socket.destroy();
 		} else {
 			reply(response, 200, {});
@@ -67,7 +67,7 @@
 
 	const follow = async (query: URLSearchParams, response: ServerResponse) => {
 		const after = Number(query.get('after'));
-		if (after < forgottenUpTo) {
+		if (after < compactedVersion) {
 			reply(response, 410, {});
 			return;
 		}
@@ -77,7 +77,7 @@
 			await new Promise<void>(resolve => {
 				const finish = () => {
 					clearTimeout(timer);
-					waiting.delete(check);
+					waiters.delete(check);
 					resolve();
 				};
 
@@ -88,22 +88,22 @@
 				};
 
 				const wait = Number(query.get('wait_ms'));
-				// The platform takes whole milliseconds only, and else does not wait.
+				// Like the platform, accepts whole milliseconds only, and does not wait for any other value.
 				const timer = setTimeout(finish, Number.isInteger(wait) ? wait : 0);
-				waiting.add(check);
+				waiters.add(check);
 			});
 		}
 
 		reply(response, 200, {rows: listChanged()});
 	};
 
-	const serve = async (request: IncomingMessage, response: ServerResponse) => {
+	const handleRequest = async (request: IncomingMessage, response: ServerResponse) => {
 		const {pathname, searchParams} = new URL(request.url ?? '/', 'http://store');
-		if (mode === 'silent') {
+		if (mode === 'unresponsive') {
 			return;
 		}
 
-		if (mode === 'refusing') {
+		if (mode === 'unavailable') {
 			reply(response, 503, {});
 		} else if (pathname.endsWith('/rows-tx')) {
 			await commit(request, response);
@@ -115,7 +115,7 @@
 	};
 
 	const server = createServer((request, response) => {
-		void serve(request, response);
+		void handleRequest(request, response);
 	});
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
@@ -137,11 +137,11 @@
 			server.closeAllConnections();
 		},
 		loseAnswers(count) {
-			answersToLose = count;
+			remainingLostAnswers = count;
 		},
 		compact() {
 			history = [];
-			forgottenUpTo = version;
+			compactedVersion = version;
 		},
 		close() {
 			server.closeAllConnections();
--- a/stand-ins/wire/start-wire-deployment.ts
+++ b/stand-ins/wire/start-wire-deployment.ts
@@ -1,5 +1,5 @@
-/* eslint-disable @typescript-eslint/naming-convention -- the platform's names */
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable @typescript-eslint/naming-convention -- names defined by the platform */
+/* eslint-disable no-await-in-loop -- steps run in sequence */
 import {spawn} from 'node:child_process';
 import {mkdtempSync, writeFileSync} from 'node:fs';
 import {createServer as createHttpServer} from 'node:http';
@@ -18,40 +18,40 @@
 
 type Options = {
 	readonly hostCount: number;
-	/** Milliseconds that replicas are behind the primary. */
+	/** Replication lag in milliseconds. */
 	readonly lag: number;
-	/** Checkout whose hosts run; this one unless it is named. */
+	/** Directory of the checkout whose hosts are run. Defaults to this checkout. */
 	readonly checkout?: string;
-	/** Arguments of Node for the hosts. */
+	/** Command-line arguments of Node.js for the host processes. */
 	readonly nodeArguments?: readonly string[];
-	/** Whether the hosts are told that the fleet starts for the first time. */
+	/** Whether the hosts bootstrap a new fleet. */
 	readonly isFirstStart?: boolean;
 };
 
 type HostOptions = Pick<Options, 'checkout' | 'nodeArguments' | 'isFirstStart'> & {
 	readonly store: StoreStandIn;
-	/** Port at which promotions are ordered. */
+	/** Port of the simulated cloudApi API, which accepts promotions. */
 	readonly cloudPort: number;
 };
 
-const root = path.join(import.meta.dirname, '../..');
+const defaultCheckout = path.join(import.meta.dirname, '../..');
 const zones = ['a', 'b', 'c'];
 const group = 'pondbook';
 
-/** Milliseconds that a promotion takes. */
-const promotionSpan = 100;
+/** Delay between accepting a promotion and its effect. */
+const promotionDelayMs = 100;
 
-/** Milliseconds after which an instance's entry is written anew. */
-const entryDelay = 50;
+/** Delay between a promotion and the update of the instances in the store. */
+const instanceUpdateDelayMs = 50;
 
-/** Starts hosts as processes, with a store, three instances of one group, and promotions as stand-ins. */
+/** Starts host processes, with a simulated store, cloud API and group of three instances. */
 export async function startWireDeployment({hostCount, lag, ...hostOptions}: Options): Promise<WireDeployment> {
 	const store = await startStoreStandIn();
 	const instances: InstanceStandIn[] = [];
-	const replicate = (entry: LogEntry, from: string) => {
+	const replicate = (entry: LogEntry, primaryId: string) => {
 		setTimeout(() => {
 			for (const instance of instances) {
-				if (instance.id !== from && instance.role() === 'replica' && instance.term() <= entry.term) {
+				if (instance.id !== primaryId && instance.role() === 'replica' && instance.term() <= entry.term) {
 					instance.appendEntry(entry);
 				}
 			}
@@ -70,7 +70,7 @@
 		}));
 	}
 
-	const list = () => {
+	const writeInstances = () => {
 		for (const [index, instance] of instances.entries()) {
 			store.put('servers', instance.id, {
 				backend: group, address: `127.0.0.1:${instance.port}`, zone: zones[index], version: 'v1', capacity: 5, state: 'ready', warmup_ms: 0, db_role: instance.role(), seq: 1,
@@ -81,29 +81,29 @@
 	const promotions: Array<{readonly id: string; readonly token: number}> = [];
 	const promote = (id: string) => {
 		const term = Math.max(...instances.map(instance => instance.term())) + 1;
-		const next = instances.find(instance => instance.id === id);
-		next?.promote(term);
+		const newPrimary = instances.find(instance => instance.id === id);
+		newPrimary?.promote(term);
 		for (const instance of instances) {
 			if (instance.id !== id && instance.role() === 'replica') {
-				instance.follow(term, next?.log() ?? []);
+				instance.follow(term, newPrimary?.log() ?? []);
 			}
 		}
 
-		setTimeout(list, entryDelay);
+		setTimeout(writeInstances, instanceUpdateDelayMs);
 	};
 
-	const cloud = createHttpServer((request, response) => {
+	const cloudApi = createHttpServer((request, response) => {
 		const answer = async () => {
 			const {id} = JSON.parse(await text(request)) as {readonly id: string};
 			promotions.push({id, token: Number(request.headers['x-fencing-token'])});
 			response.writeHead(200).end('{}');
-			setTimeout(promote, promotionSpan, id);
+			setTimeout(promote, promotionDelayMs, id);
 		};
 
 		void answer();
 	});
 	await new Promise<void>(resolve => {
-		cloud.listen(0, '127.0.0.1', resolve);
+		cloudApi.listen(0, '127.0.0.1', resolve);
 	});
 	let version = 0;
 	const configure: WireDeployment['configure'] = ({keys}) => {
@@ -112,8 +112,8 @@
 	};
 
 	configure({keys: ['good', 'other']});
-	list();
-	const hosts = await Promise.all(Array.from({length: hostCount}, async (_, index) => startHost(index, {...hostOptions, store, cloudPort: (cloud.address() as AddressInfo).port})));
+	writeInstances();
+	const hosts = await Promise.all(Array.from({length: hostCount}, async (_, index) => startHost(index, {...hostOptions, store, cloudPort: (cloudApi.address() as AddressInfo).port})));
 	return {
 		store,
 		instances,
@@ -132,7 +132,7 @@
 				host.process.kill('SIGKILL');
 			}
 
-			cloud.close();
+			cloudApi.close();
 			store.close();
 			for (const instance of instances) {
 				instance.close();
@@ -172,7 +172,7 @@
 }
 
 async function startHost(index: number, {
-	store, cloudPort, checkout = root, nodeArguments = [], isFirstStart = false,
+	store, cloudPort, checkout = defaultCheckout, nodeArguments = [], isFirstStart = false,
 }: HostOptions): Promise<WireDeployment['hosts'][number]> {
 	const name = `host-${index + 1}`;
 	const [port = 0, readyPort = 0, hostPort = 0] = await findFreePorts(3);
@@ -197,8 +197,8 @@
 		cwd: checkout, env: {...process.env, SAPPHIREFALL_BOOT: file}, stdio: ['ignore', 'pipe', 'inherit'],
 	});
 	let output = '';
-	child.stdout.on('data', (piece: unknown) => {
-		output += String(piece);
+	child.stdout.on('data', (chunk: unknown) => {
+		output += String(chunk);
 	});
 	return {
 		name, process: child, port, readyPort, output: () => output,
--- a/stand-ins/wire/store-stand-in.ts
+++ b/stand-ins/wire/store-stand-in.ts
@@ -1,19 +1,21 @@
 import type {AddressInfo} from 'node:net';
 
-/** How the store answers: as it should, with a refusal, or not at all. */
-type StoreMode = 'ready' | 'refusing' | 'silent';
+/** How the store answers: normally, with status 503, or not at all. */
+type StoreMode = 'available' | 'unavailable' | 'unresponsive';
 
-/** The platform's store, in memory. */
+/** A simulated store of the platform that holds its rows in memory. */
 export type StoreStandIn = {
 	readonly address: () => AddressInfo;
-	/** Writes a row as the operator or an instance does. */
+	/** Writes a row on behalf of an operator or an instance. */
 	readonly put: (table: string, key: string, value: unknown) => void;
 	readonly delete: (table: string, key: string) => void;
+	/** Returns the decoded value of a row, or `undefined` if the row does not exist. */
 	readonly read: (table: string, key: string) => unknown;
+	/** Changes how the store answers, and closes all connections. */
 	readonly setMode: (mode: StoreMode) => void;
-	/** Lets the next commits take effect without an answer. */
+	/** Applies the next commits, and closes the connection of each instead of answering. */
 	readonly loseAnswers: (count: number) => void;
-	/** Forgets the history, so that calls which follow it must read anew. */
+	/** Discards the change history, so that clients that follow it must read the whole table again. */
 	readonly compact: () => void;
 	readonly close: () => void;
 };
--- a/stand-ins/wire/whole-path.test.ts
+++ b/stand-ins/wire/whole-path.test.ts
@@ -1,5 +1,5 @@
-/* eslint-disable unicorn/no-await-expression-member -- a step of a session a line */
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable unicorn/no-await-expression-member -- keeps each step of a session on one line */
+/* eslint-disable no-await-in-loop -- steps run in sequence */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {expect} from 'chai';
 import {openWireClient} from './open-wire-client.ts';
@@ -7,14 +7,14 @@
 import type {WireClient} from './wire-client.ts';
 import type {WireDeployment} from './wire-deployment.ts';
 
-/** Milliseconds that replicas are behind. */
+/** Replication lag in milliseconds. */
 const lag = 80;
 
-/** Milliseconds within which a dark primary must have been replaced: detection, votes, fence, promotion, and news. */
-const writeGap = 3500;
+/** Time limit for the failover of an unresponsive primary: detection, votes, fencing, promotion, and propagation to the hosts. */
+const writeGapLimitMs = 3500;
 
-/** Repeats a statement until it succeeds, as a caller does after a refusal. */
-async function repeatUntilDone(client: WireClient, text: string, limit: number): Promise<number> {
+/** Retries a statement until it succeeds. Returns the elapsed milliseconds, or infinity if the limit in milliseconds expires first. */
+async function retryUntilComplete(client: WireClient, text: string, limit: number): Promise<number> {
 	const startedAt = performance.now();
 	while (performance.now() - startedAt < limit) {
 		const {result} = await client.query(text);
@@ -28,7 +28,7 @@
 	return Number.POSITIVE_INFINITY;
 }
 
-describe('the whole path on the wire', () => {
+describe('hosts, instances and store over the wire protocol', () => {
 	let deployment: WireDeployment;
 	const open = (host: number, database: string, key = 'good') => openWireClient(deployment.hosts[host]?.port ?? 0, {database, key});
 
@@ -54,19 +54,19 @@
 		},
 	];
 	for (const {name, database, key, expected} of starts) {
-		it(`answers the start of a session with ${name}`, async () => {
+		it(`answers a session start with ${name}`, async () => {
 			expect(await open(0, database, key).started).to.include(expected);
 		});
 	}
 
-	it('logs sessions that are refused at their start, with the reason', async () => {
+	it('logs each refused session start with its reason', async () => {
 		await sleep(100);
 		const lines = deployment.hosts[0]?.output().split('\n').filter(line => line.includes('"kind":"start"')) ?? [];
 		expect(lines.filter(line => line.includes('"outcome":"badKey"'))).to.have.length(1);
 		expect(lines.filter(line => line.includes('"outcome":"noDatabase"'))).to.have.length(1);
 	});
 
-	it('lets a session read its own writes while replicas lag', async () => {
+	it('returns the own writes of a session while replicas lag', async () => {
 		const client = open(0, 'own');
 		for (let number = 0; number < 10; number++) {
 			expect((await client.query(`WRITE pond v${number}`)).result).to.match(/^COMPLETE/v);
@@ -74,7 +74,7 @@
 		}
 	});
 
-	it('reads the latest state through another host', async () => {
+	it('reads the latest write through another host', async () => {
 		const writer = open(0, 'latest');
 		const reader = open(2, 'latest');
 		for (let number = 0; number < 10; number++) {
@@ -83,7 +83,7 @@
 		}
 	});
 
-	it('serves reads that accept older data from replicas', async () => {
+	it('serves bounded-staleness reads from replicas', async () => {
 		const [primary] = deployment.instances;
 		const client = open(1, 'old');
 		await client.query('READ pond');
@@ -95,7 +95,7 @@
 		expect((primary?.executedStatements().length ?? 0) - before).to.be.at.most(1);
 	});
 
-	it('commits and rolls back transactions as a whole', async () => {
+	it('commits and rolls back transactions atomically', async () => {
 		const client = open(0, 'latest');
 		expect((await client.query('BEGIN')).state).to.equal('T');
 		await client.query('WRITE a 1');
@@ -108,7 +108,7 @@
 		expect((await client.query('READ b')).rows).to.deep.equal(['1']);
 	});
 
-	it('keeps prepared statements of sessions apart, also when their names collide', async () => {
+	it('isolates prepared statements of the same name in different sessions', async () => {
 		const first = open(0, 'latest');
 		const second = open(0, 'latest');
 		await first.query('PREPARE s WRITE q1');
@@ -120,12 +120,12 @@
 
 	const malformed = [
 		{name: 'an unknown kind of message', bytes: 'HELLO there\r\n', result: 'ERROR MALFORMED'},
-		{name: 'a statement that cannot be read', bytes: 'QUERY 1 DELETE all\r\n', result: 'ERROR MALFORMED'},
-		{name: 'an end without a beginning', bytes: 'QUERY 1 COMMIT\r\n', result: 'ERROR MALFORMED'},
+		{name: 'a statement that cannot be parsed', bytes: 'QUERY 1 DELETE all\r\n', result: 'ERROR MALFORMED'},
+		{name: 'a commit without a transaction', bytes: 'QUERY 1 COMMIT\r\n', result: 'ERROR MALFORMED'},
 		{name: 'an empty line', bytes: '\r\n', result: 'ERROR MALFORMED'},
 	];
 	for (const {name, bytes, result} of malformed) {
-		it(`answers ${name} and goes on`, async () => {
+		it(`answers ${name} with an error and keeps the session open`, async () => {
 			const client = open(0, 'latest');
 			await client.started;
 			expect(await client.send(bytes)).to.include({result, state: 'I'});
@@ -133,7 +133,7 @@
 		});
 	}
 
-	it('ends a session whose message is too long, and no other', async () => {
+	it('closes only the session that sends an oversized message', async () => {
 		const other = open(0, 'latest');
 		const client = open(0, 'latest');
 		await client.started;
@@ -141,7 +141,7 @@
 		expect((await other.query('READ a')).result).to.match(/^COMPLETE/v);
 	});
 
-	it('says "unknown" when the answer to a write is lost, and runs it once', async () => {
+	it('reports an unknown outcome for a write whose answer is lost, and does not run it again', async () => {
 		const client = open(0, 'latest');
 		const [primary] = deployment.instances;
 		primary?.loseAnswers(1);
@@ -149,23 +149,23 @@
 		expect(primary?.executedStatements().filter(({text}) => text === 'WRITE lost once')).to.have.length(1);
 	});
 
-	it('refuses what cannot be proven while the store is away, and goes on after', async () => {
+	it('refuses requests when a store outage exceeds the revocation limit, and recovers afterwards', async () => {
 		const client = open(0, 'latest');
-		deployment.store.setMode('silent');
+		deployment.store.setMode('unresponsive');
 		expect((await client.query('WRITE during outage')).result).to.match(/^COMPLETE/v);
 		await sleep(5200);
 		expect((await client.query('READ during')).result).to.equal('ERROR BUSY');
-		deployment.store.setMode('ready');
-		expect(await repeatUntilDone(client, 'READ during', 3000)).to.be.below(3000);
+		deployment.store.setMode('available');
+		expect(await retryUntilComplete(client, 'READ during', 3000)).to.be.below(3000);
 	});
 
-	it('goes on when the store has forgotten its history', async () => {
+	it('keeps serving after the store has compacted its history', async () => {
 		deployment.store.compact();
 		await sleep(1500);
 		expect((await open(0, 'latest').query('READ a')).result).to.match(/^COMPLETE/v);
 	});
 
-	it('stops a withdrawn key on open sessions within the limit', async () => {
+	it('refuses a withdrawn key on open sessions within the time limit', async () => {
 		const withdrawn = open(1, 'old', 'other');
 		await withdrawn.started;
 		deployment.configure({keys: ['good']});
@@ -174,24 +174,24 @@
 		expect((await open(1, 'old').query('READ a')).result).to.match(/^COMPLETE/v);
 	});
 
-	it('replaces a primary that went dark, once, and loses no write that replicas had', async () => {
+	it('replaces an unresponsive primary exactly once, without losing replicated writes', async () => {
 		const clients = [0, 1, 2].map(host => open(host, 'latest'));
 		await clients[0]?.query('WRITE kept before');
 		await sleep(3 * lag);
 		deployment.instances[0]?.stopAnswering();
-		const gaps = await Promise.all(clients.map(async (client, index) => repeatUntilDone(client, `WRITE after${index} yes`, 10_000)));
-		expect(Math.max(...gaps)).to.be.below(writeGap);
+		const writeGaps = await Promise.all(clients.map(async (client, index) => retryUntilComplete(client, `WRITE after${index} yes`, 10_000)));
+		expect(Math.max(...writeGaps)).to.be.below(writeGapLimitMs);
 		expect((await clients[1]?.query('READ kept'))?.rows).to.deep.equal(['before']);
 		expect(deployment.promotions()).to.have.length(1);
 	});
 
-	it('tells instances the workspace and never a key', () => {
+	it('sends the workspace to instances, and neither sends nor logs a key', () => {
 		const callers = new Set(deployment.instances.flatMap(instance => instance.sessionWorkspaces()));
 		expect([...callers]).to.include('upper').and.not.include('good').and.not.include('other');
 		expect(deployment.hosts.map(host => host.output()).join('')).to.not.match(/\b(?:good|other)\b/v);
 	});
 
-	it('cuts no request when a host stops', async () => {
+	it('leaves no executed request unanswered when a host shuts down', async () => {
 		const client = open(2, 'latest');
 		await client.started;
 		deployment.hosts[2]?.process.kill('SIGTERM');
--- a/stand-ins/wire/wire-client.ts
+++ b/stand-ins/wire/wire-client.ts
@@ -1,18 +1,19 @@
-/** The answer to a statement on the wire. */
+/** The answer to a message of the wire protocol. */
 type WireAnswer = {
 	readonly rows: readonly string[];
-	/** `COMPLETE` with its signature, or `ERROR` with its code; empty when the connection ended. */
+	/** `COMPLETE` with the signature, or `ERROR` with the code. Empty if the connection closed before a result. */
 	readonly result: string;
-	/** State after it; empty when the connection ended. */
+	/** Transaction state from the `READY` message. Empty if the connection closed. */
 	readonly state: string;
 };
 
-/** A caller's session on the wire. */
+/** A session of a caller over the wire protocol. */
 export type WireClient = {
-	/** The answer to the start of the session. */
+	/** Resolves to the answer to the `START` message. */
 	readonly started: Promise<WireAnswer>;
+	/** Sends a statement in a `QUERY` message and waits for the answer. */
 	readonly query: (text: string) => Promise<WireAnswer>;
-	/** Sends bytes as they are, and waits for an answer. */
+	/** Sends raw bytes and waits for an answer. */
 	readonly send: (bytes: string) => Promise<WireAnswer>;
 	readonly isClosed: () => boolean;
 	readonly close: () => void;
--- a/stand-ins/wire/wire-deployment.ts
+++ b/stand-ins/wire/wire-deployment.ts
@@ -2,27 +2,28 @@
 import type {InstanceStandIn} from './instance-stand-in.ts';
 import type {StoreStandIn} from './store-stand-in.ts';
 
-/** A host that runs as a process. */
+/** A host process. */
 type WireHost = {
 	readonly name: string;
 	readonly process: ChildProcess;
-	/** Port for the sessions of callers. */
+	/** Port for sessions of callers. */
 	readonly port: number;
+	/** Port of the HTTP readiness check. */
 	readonly readyPort: number;
-	/** What the process has written. */
+	/** Returns everything that the process has written to standard output. */
 	readonly output: () => string;
 };
 
-/** Hosts as processes over stand-ins of the platform. */
+/** Host processes with a simulated platform. */
 export type WireDeployment = {
 	readonly store: StoreStandIn;
 	readonly instances: readonly InstanceStandIn[];
 	readonly hosts: readonly WireHost[];
-	/** Orders of promotion that were taken: instance and fencing token. */
+	/** Returns the promotions that the simulated cloud API accepted, each with its fencing token. */
 	readonly promotions: () => ReadonlyArray<{readonly id: string; readonly token: number}>;
-	/** Waits until all hosts are ready. */
+	/** Waits until the readiness check of every host succeeds. */
 	readonly waitUntilReady: () => Promise<void>;
-	/** Changes the operators' configuration. */
+	/** Writes a new version of the configuration, with these keys of callers. */
 	readonly configure: (change: {readonly keys: readonly string[]}) => void;
 	readonly stop: () => void;
 };
