--- a/stand-ins/cluster/start-cluster.ts
+++ b/stand-ins/cluster/start-cluster.ts
@@ -211,7 +211,7 @@
 
 		if (pendingHosts.size > 0 && Date.now() > deadline) {
 			const [host = ''] = pendingHosts;
-			throw new Error(`Host "${host}" did not start within ${startTimeoutMs} ms: ${cluster.child(host).readErrors()}`);
+			throw new Error(`Host "${host}" did not start in time: ${cluster.child(host).readErrors()}`);
 		}
 
 		await new Promise(resolve => { // eslint-disable-line no-await-in-loop
--- a/stand-ins/demo/run-demo.ts
+++ b/stand-ins/demo/run-demo.ts
@@ -48,7 +48,7 @@
 	}
 }
 
-/** Runs the stepCount of the demo, and prints each with its result code and latency. */
+/** Runs the steps of the demo, and prints each with its result code and latency. */
 type DemoRunner = {
 	readonly call: (title: string, host: string, call: Call) => Promise<ExecuteResponse>;
 	readonly change: (title: string, change: ChangeRequest['change']) => Promise<number>;
--- a/stand-ins/wire/start-wire-deployment.ts
+++ b/stand-ins/wire/start-wire-deployment.ts
@@ -30,7 +30,7 @@
 
 type HostOptions = Pick<Options, 'checkout' | 'nodeArguments' | 'isFirstStart'> & {
 	readonly store: StoreStandIn;
-	/** Port of the simulated cloudApi API, which accepts promotions. */
+	/** Port of the simulated cloud API, which accepts promotions. */
 	readonly cloudPort: number;
 };
 
