--- a/stand-ins/endpoint/_create-transaction-manager.ts
+++ b/stand-ins/endpoint/_create-transaction-manager.ts
@@ -57,8 +57,8 @@
 	return {
 		end,
 		rollBack,
-		leaveSlot: releaseSlot,
-		abortHolder: abortOpenTransaction,
+		releaseSlot,
+		abortOpenTransaction,
 		/** Acquires a slot for a batch. Resolves to `false` if none becomes free within the timeout. */
 		async acquireSlot(session: Session): Promise<boolean> {
 			session.isRunning = true;
--- a/stand-ins/endpoint/create-instance.ts
+++ b/stand-ins/endpoint/create-instance.ts
@@ -166,7 +166,7 @@
 					rollBack(session);
 				}
 
-				transactions.leaveSlot(session);
+				transactions.releaseSlot(session);
 			}
 		},
 
@@ -174,13 +174,13 @@
 		closeSession(session: Session) {
 			session.isClosed = true;
 			rollBack(session);
-			transactions.leaveSlot(session);
+			transactions.releaseSlot(session);
 		},
 
 		/** Grants a term to an owner if it is higher than all terms granted before, or if this owner already has it. */
 		fence(request: {readonly term: number; readonly owner: string}): boolean {
 			if (request.term > term) {
-				transactions.abortHolder();
+				transactions.abortOpenTransaction();
 				applyRole({
 					term: request.term, owner: request.owner, role: 'fenced', primary: '',
 				});
@@ -213,7 +213,7 @@
 				return false;
 			}
 
-			transactions.abortHolder();
+			transactions.abortOpenTransaction();
 			applyRole({
 				term: request.term,
 				owner: request.term > term ? '' : owner,
