--- a/stand-ins/cluster/create-printed-log.ts
+++ b/stand-ins/cluster/create-stdout-event-log.ts
@@ -2,8 +2,8 @@
 	createEventLog, createHybridClock, formatEvent, type EventLog,
 } from '@sapphirefall/events';
 
-/** Creates the event log of a stand-in; events go to the output, a line each. */
-export function createPrintedLog(process: string): EventLog {
+/** Creates an event log that prints each event to standard output, one per line. */
+export function createStdoutEventLog(process: string): EventLog {
 	return createEventLog(process, {
 		clock: createHybridClock(() => Date.now()),
 		onEvent(event) {
--- a/stand-ins/cluster/find-code.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-import type {ExecuteResponse} from '@sapphirefall/wire';
-
-/** Finds the result code of an answer; -1 when it has none. */
-export function findCode(response: ExecuteResponse): number {
-	return response.answer.value?.code ?? -1;
-}
--- a/stand-ins/endpoint/create-instance.ts
+++ b/stand-ins/endpoint/create-instance.ts
@@ -8,7 +8,7 @@
 import {createEngine} from './_create-engine.ts';
 import {createSemaphore} from './_create-semaphore.ts';
 import {createSession} from './_create-session.ts';
-import {createTransactions} from './_create-transactions.ts';
+import {createTransactionManager} from './_create-transaction-manager.ts';
 import {openJournal} from './_open-journal.ts';
 import {openReplicaLog} from './_open-replica-log.ts';
 import type {Session} from './_session.ts';
@@ -16,13 +16,14 @@
 type Options = {
 	readonly id: string;
 	readonly journalFile: string | undefined;
+	/** Number of batches and transactions in progress at a time. */
 	readonly slots: number;
 	/** Milliseconds that a batch occupies its slot. */
 	readonly serviceTime: number;
 	/** Milliseconds to wait for a slot or for the write lock. */
 	readonly lockTimeout: number;
-	/** Called when the role or the term changes. */
-	readonly onRole: (role: Role, term: number) => void;
+	/** Called when the role, the term or the followed primary is set. */
+	readonly onRoleChange: (role: Role, term: number) => void;
 };
 
 const roleMessages: Readonly<Record<Role, InstanceRole>> = {
@@ -30,23 +31,23 @@
 };
 
 /**
- * Creates an instance of a database group: an engine, its log, its term and its role.
+ * Creates an instance of a database group, with an SQL engine, a replicated log, a term and a role.
  *
- * Transactions are serial: one lock covers the engine from the first statement to the end.
+ * Transactions run serially: each holds one lock on the engine from its first statement to its end.
  */
 export function createInstance(options: Options) {
 	const engine = createEngine();
 	const journal = openJournal(options.journalFile);
 	const log = openReplicaLog(engine, journal);
 	const lock = createSemaphore(1);
-	const transactions = createTransactions(engine, {...options, lock});
+	const transactions = createTransactionManager(engine, {...options, lock});
 	const {end, rollBack} = transactions;
-	const waiters = new Set<() => void>();
+	const pullWaiters = new Set<() => void>();
 	let term = 0;
 	let owner = '';
 	let role: Role = 'fenced';
 	let primaryAddress = '';
-	let tenure = new AbortController();
+	let roleChange = new AbortController();
 
 	for (const record of journal.read()) {
 		if (record.kind === 'term') {
@@ -56,30 +57,30 @@
 		}
 	}
 
-	const setRole = (next: {term: number; owner: string; role: Role; primary: string}) => {
+	const applyRole = (next: {term: number; owner: string; role: Role; primary: string}) => {
 		({term, owner, role} = next);
 		primaryAddress = next.primary;
 		journal.write({kind: 'term', ...next});
-		options.onRole(role, term);
-		tenure.abort();
-		tenure = new AbortController();
+		options.onRoleChange(role, term);
+		roleChange.abort();
+		roleChange = new AbortController();
 	};
 
-	const wakeWaiters = () => {
-		for (const wake of waiters) {
+	const notifyPullWaiters = () => {
+		for (const wake of pullWaiters) {
 			wake();
 		}
 
-		waiters.clear();
+		pullWaiters.clear();
 	};
 
 	const createReport = (id = 0): InstanceReport => create(InstanceReportSchema, {
-		id, instance: options.id, term, role: roleMessages[role], at: log.end(),
+		id, instance: options.id, term, role: roleMessages[role], at: log.lastPoint(),
 	});
 
 	const createFault = (request: BatchRequest, fault: EndpointFault, message: string): BatchResponse =>
 		create(BatchResponseSchema, {
-			id: request.id, fault, message, at: log.end(),
+			id: request.id, fault, message, at: log.lastPoint(),
 		});
 
 	const checkTerm = (request: BatchRequest): boolean =>
@@ -103,11 +104,11 @@
 		end(session, 'COMMIT');
 		if (!isReadOnly && statements.length > 0) {
 			log.append(term, statements);
-			wakeWaiters();
+			notifyPullWaiters();
 		}
 	};
 
-	const runInLock = (session: Session, request: BatchRequest, isWhole: boolean): BatchResponse => {
+	const runInLock = (session: Session, request: BatchRequest, isAutocommit: boolean): BatchResponse => {
 		if (session.isAborted || session.transaction === undefined || !checkTerm(request)) {
 			rollBack(session);
 			session.isAborted = false;
@@ -118,11 +119,11 @@
 			const response = runStatements(session, request);
 			if (request.rollback) {
 				end(session, 'ROLLBACK');
-			} else if (request.commit || isWhole) {
+			} else if (request.commit || isAutocommit) {
 				commit(session, request.readOnly);
 			}
 
-			const {term: endTerm, position} = log.end();
+			const {term: endTerm, position} = log.lastPoint();
 			return {...response, at: {$typeName: 'sapphirefall.v1.LogPoint', term: endTerm, position}};
 		} catch (error) {
 			rollBack(session);
@@ -132,19 +133,19 @@
 
 	return {
 		createReport,
-		/** The role, and a signal that is aborted when it changes. */
+		/** Returns the role and term, with a signal that is aborted when either is set again. */
 		getRole: () => ({
-			role, term, primaryAddress, signal: tenure.signal,
+			role, term, primaryAddress, signal: roleChange.signal,
 		}),
 		createSession,
 
-		/** Runs a batch of a connection. */
+		/** Runs a batch of a connection. Answers with a fault if the batch cannot run. */
 		async runBatch(session: Session, request: BatchRequest): Promise<BatchResponse> {
 			if (!checkTerm(request)) {
 				return runInLock(session, request, false);
 			}
 
-			const hasSlot = await transactions.enterSlot(session);
+			const hasSlot = await transactions.acquireSlot(session);
 			if (!hasSlot) {
 				return createFault(request, EndpointFault.BUSY, 'no slot came free');
 			}
@@ -154,10 +155,10 @@
 					await sleep(options.serviceTime);
 				}
 
-				const isWhole = !request.begin && session.transaction === undefined && !session.isAborted;
-				const isBegun = !(request.begin || isWhole) || await transactions.begin(session);
-				return isBegun
-					? runInLock(session, request, isWhole)
+				const isAutocommit = !request.begin && session.transaction === undefined && !session.isAborted;
+				const hasTransaction = !(request.begin || isAutocommit) || await transactions.begin(session);
+				return hasTransaction
+					? runInLock(session, request, isAutocommit)
 					: createFault(request, EndpointFault.BUSY, 'the write lock did not come free');
 			} finally {
 				session.isRunning = false;
@@ -165,55 +166,55 @@
 					rollBack(session);
 				}
 
-				transactions.leaveSlot(session);
+				transactions.releaseSlot(session);
 			}
 		},
 
-		/** Rolls back what a closed connection left open. */
+		/** Marks a connection as closed and rolls back its open transaction. */
 		closeSession(session: Session) {
 			session.isClosed = true;
 			rollBack(session);
-			transactions.leaveSlot(session);
+			transactions.releaseSlot(session);
 		},
 
-		/** Grants a term that is higher than all granted before, or the same one to its owner again. */
+		/** Grants a term to an owner if it is higher than all terms granted before, or if this owner already has it. */
 		fence(request: {readonly term: number; readonly owner: string}): boolean {
 			if (request.term > term) {
-				transactions.abortHolder();
-				setRole({
+				transactions.abortOpenTransaction();
+				applyRole({
 					term: request.term, owner: request.owner, role: 'fenced', primary: '',
 				});
-				wakeWaiters();
+				notifyPullWaiters();
 			}
 
 			return request.term === term && request.owner === owner;
 		},
 
-		/** Makes this instance the primary of the term that it granted to the owner. */
+		/** Makes this instance the primary of the term that it granted to this owner. Idempotent. */
 		promote(request: {readonly term: number; readonly owner: string}): boolean {
 			if (request.term !== term || request.owner !== owner || role === 'replica') {
 				return false;
 			}
 
 			if (role === 'fenced') {
-				setRole({
+				applyRole({
 					term, owner, role: 'primary', primary: '',
 				});
 				log.append(term, []);
-				wakeWaiters();
+				notifyPullWaiters();
 			}
 
 			return true;
 		},
 
-		/** Makes this instance a replica in a term. */
+		/** Makes this instance a replica of a primary in a term, unless the term is stale. */
 		follow(request: {readonly term: number; readonly primaryAddress: string}): boolean {
 			if (request.term < term || (request.term === term && role === 'primary')) {
 				return false;
 			}
 
-			transactions.abortHolder();
-			setRole({
+			transactions.abortOpenTransaction();
+			applyRole({
 				term: request.term,
 				owner: request.term > term ? '' : owner,
 				role: 'replica',
@@ -222,7 +223,7 @@
 			return true;
 		},
 
-		/** Lists entries after a point for a replica; waits for new ones. */
+		/** Lists entries after a point for a replica. Waits up to `wait` milliseconds if there are none yet. */
 		async listEntries(request: {readonly term: number; readonly after: {readonly term: number; readonly position: bigint}; readonly wait: number}) {
 			const isServing = () => role === 'primary' && term === request.term;
 			if (!isServing()) {
@@ -234,9 +235,9 @@
 				return {isAccepted: true, isDiverged: true, entries: []};
 			}
 
-			if (log.end().position === after.position) {
+			if (log.lastPoint().position === after.position) {
 				await new Promise<void>(resolve => {
-					waiters.add(resolve);
+					pullWaiters.add(resolve);
 					setTimeout(resolve, request.wait);
 				});
 			}
@@ -244,10 +245,10 @@
 			return {isAccepted: isServing(), isDiverged: false, entries: isServing() ? log.listAfter(after.position) : []};
 		},
 
-		/** Applies a primary's entries after a point that both logs hold. */
+		/** Replaces all entries after a position by those of the primary. Both logs agree up to that position. */
 		async applyEntries(after: bigint, entries: readonly LogEntry[]) {
-			const isEntered = await lock.enter(options.lockTimeout);
-			if (!isEntered) {
+			const isAcquired = await lock.acquire(options.lockTimeout);
+			if (!isAcquired) {
 				return;
 			}
 
@@ -257,10 +258,10 @@
 					log.apply(entries);
 				}
 			} finally {
-				lock.leave();
+				lock.release();
 			}
 		},
 		findTermAt: (position: bigint) => log.readEntry(position)?.at?.term ?? 0,
-		logEnd: () => log.end(),
+		findLastPoint: () => log.lastPoint(),
 	};
 }
--- a/stand-ins/endpoint/main.ts
+++ b/stand-ins/endpoint/main.ts
@@ -5,19 +5,19 @@
 import {parse} from 'yaml';
 import {z} from 'zod';
 import {EndpointFaultService, EndpointService} from '@sapphirefall/wire';
-import {createPrintedLog} from '../cluster/create-printed-log.ts';
+import {createStdoutEventLog} from '../cluster/create-stdout-event-log.ts';
 import type {AnswerFault} from './answer-fault.ts';
 import {createEndpointService} from './create-endpoint-service.ts';
 import {createInstance} from './create-instance.ts';
 import {startReplication} from './start-replication.ts';
 
-const schema = z.strictObject({
+const settingsSchema = z.strictObject({
 	id: z.string(),
 	port: z.number(),
 	journalFile: z.string().optional(),
-	/** Primary to follow when the journal is empty; without it the instance starts as the primary of term 1. */
+	/** Address of the primary to follow if the journal is empty. Without it, the instance starts as the primary of term 1. */
 	primary: z.string().optional(),
-	/** Addresses at which this instance reaches the others, where they differ from those that hosts use. */
+	/** Addresses at which this instance reaches other instances, where they differ from those that hosts use. */
 	routes: z.record(z.string(), z.string()).default({}),
 	slots: z.number().default(5),
 	connectionLimit: z.number().default(35),
@@ -26,19 +26,19 @@
 	lag: z.number().default(0),
 	lockTimeout: z.number().default(1000),
 	pullWait: z.number().default(200),
-	/** Whether all that the instance receives is written to its output. */
+	/** Whether the instance prints every batch request to standard output. */
 	trace: z.boolean().default(false),
 });
 
-const settings = schema.parse(parse(readFileSync(process.argv[2] ?? '', 'utf8')));
-const events = createPrintedLog(settings.id);
+const settings = settingsSchema.parse(parse(readFileSync(process.argv[2] ?? '', 'utf8')));
+const events = createStdoutEventLog(settings.id);
 const instance = createInstance({
 	id: settings.id,
 	journalFile: settings.journalFile,
 	slots: settings.slots,
 	serviceTime: settings.serviceTime,
 	lockTimeout: settings.lockTimeout,
-	onRole(role, term) {
+	onRoleChange(role, term) {
 		events.emit({kind: 'role-changed', detail: `${role} of term ${term}`});
 	},
 });
@@ -54,17 +54,17 @@
 
 startReplication({instance, lag: settings.lag});
 let fault: AnswerFault = {
-	delay: 0, dropped: 0, skipped: 0, hasStrays: false,
+	delayMs: 0, remainingDrops: 0, remainingSkips: 0, hasStrays: false,
 };
 const service = createEndpointService(instance, {
 	...settings,
 	readFault: () => fault,
 	takeDrop() {
-		const isTaken = fault.skipped === 0 && fault.dropped > 0;
-		fault = fault.skipped > 0
-			? {...fault, skipped: fault.skipped - 1}
-			: {...fault, dropped: Math.max(0, fault.dropped - 1)};
-		return isTaken;
+		const isDropped = fault.remainingSkips === 0 && fault.remainingDrops > 0;
+		fault = fault.remainingSkips > 0
+			? {...fault, remainingSkips: fault.remainingSkips - 1}
+			: {...fault, remainingDrops: Math.max(0, fault.remainingDrops - 1)};
+		return isDropped;
 	},
 });
 const handler = connectNodeAdapter({
@@ -75,7 +75,7 @@
 				delayMs, dropped, skipped, strays,
 			}) {
 				fault = {
-					delay: delayMs, dropped, skipped, hasStrays: strays,
+					delayMs, remainingDrops: dropped, remainingSkips: skipped, hasStrays: strays,
 				};
 				return {};
 			},
