--- a/bench/failover-kind.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** How a primary is lost. */
-export type FailoverKind = 'kill' | 'cut' | 'freeze';
--- a/bench/measure-failover.ts
+++ b/bench/measure-failover.ts
@@ -4,7 +4,7 @@
 import {createStatement} from '../stand-ins/cluster/create-statement.ts';
 import {startCluster} from '../stand-ins/cluster/start-cluster.ts';
 import type {Cluster} from '../stand-ins/cluster/cluster.ts';
-import type {FailoverKind} from './failover-kind.ts';
+import type {PrimaryFault} from './primary-fault.ts';
 
 /** What one failover took, in milliseconds from the fault. */
 type Failover = {
@@ -12,7 +12,7 @@
 	readonly fenced: number;
 	readonly promoted: number;
 	/** Longest time without an acknowledged write. */
-	readonly gap: number;
+	readonly writeGapMs: number;
 };
 
 const key = 'Key-Of-Writer';
@@ -22,7 +22,7 @@
 
 /** Measures failovers of one kind, one after the other, under a steady load of writes. */
 export async function measureFailover(
-	kind: FailoverKind,
+	kind: PrimaryFault,
 	options: {readonly zoneDelay: number; readonly rounds: number},
 ): Promise<readonly Failover[]> {
 	const cluster = await startCluster({
@@ -95,7 +95,7 @@
 
 async function failOnce(
 	cluster: Cluster,
-	{kind, acknowledged}: {readonly kind: FailoverKind; readonly acknowledged: readonly number[]},
+	{kind, acknowledged}: {readonly kind: PrimaryFault; readonly acknowledged: readonly number[]},
 ): Promise<Failover> {
 	const primary = await waitForHealth(cluster);
 	await sleep(500);
@@ -104,16 +104,16 @@
 	await sleep(2500);
 	repair(cluster, {kind, primary});
 	const times = [...acknowledged].filter(time => time >= failedAt - 500).toSorted((a, b) => a - b);
-	const gap = Math.max(0, ...times.map((time, index) => time - (times[index - 1] ?? time)));
+	const writeGapMs = Math.max(0, ...times.map((time, index) => time - (times[index - 1] ?? time)));
 	return {
 		suspected: findStep(cluster, {step: 'suspected', since: failedAt}),
 		fenced: findStep(cluster, {step: 'fenced', since: failedAt}),
 		promoted: findStep(cluster, {step: 'promoted', since: failedAt}),
-		gap,
+		writeGapMs,
 	};
 }
 
-function inflict(cluster: Cluster, {kind, primary}: {readonly kind: FailoverKind; readonly primary: string}): void {
+function inflict(cluster: Cluster, {kind, primary}: {readonly kind: PrimaryFault; readonly primary: string}): void {
 	switch (kind) {
 		case 'kill': {
 			cluster.child(primary).signal('SIGKILL');
@@ -135,7 +135,7 @@
 	}
 }
 
-function repair(cluster: Cluster, {kind, primary}: {readonly kind: FailoverKind; readonly primary: string}): void {
+function repair(cluster: Cluster, {kind, primary}: {readonly kind: PrimaryFault; readonly primary: string}): void {
 	switch (kind) {
 		case 'kill': {
 			cluster.restart(primary);
--- a/bench/measure-statements.ts
+++ b/bench/measure-statements.ts
@@ -21,13 +21,13 @@
 /** What statements and idle hosts cost. */
 type Cost = {
 	/** Share of a core that an idle host uses. */
-	readonly idle: number;
+	readonly idleCoreShare: number;
 	/** Milliseconds of processor time of all hosts a statement, above idle. */
-	readonly statement: number;
+	readonly statementMs: number;
 	/** Milliseconds from a statement to its answer, the median. */
-	readonly median: number;
+	readonly medianMs: number;
 	/** Milliseconds of profiled time by part of the program, over all hosts, from the first statement to the end of all. */
-	readonly parts: ReadonlyMap<string, number>;
+	readonly msByComponent: ReadonlyMap<string, number>;
 };
 
 /** Milliseconds for which hosts settle, stand idle and are under load. */
@@ -64,10 +64,10 @@
 		await stopHosts(deployment);
 		const stopped = performance.now() - loadedAt;
 		return {
-			idle: idle / hostCount,
-			statement: (used - (idle * spans.load)) / elapsed.length,
-			median: elapsed.toSorted((a, b) => a - b)[Math.floor(elapsed.length / 2)] ?? 0,
-			parts: mergeParts(readdirSync(folder).map(file => summarizeProfile(readFileSync(path.join(folder, file), 'utf8'), spans.load + stopped))),
+			idleCoreShare: idle / hostCount,
+			statementMs: (used - (idle * spans.load)) / elapsed.length,
+			medianMs: elapsed.toSorted((a, b) => a - b)[Math.floor(elapsed.length / 2)] ?? 0,
+			msByComponent: mergeParts(readdirSync(folder).map(file => summarizeProfile(readFileSync(path.join(folder, file), 'utf8'), spans.load + stopped))),
 		};
 	} finally {
 		deployment.stop();
--- /dev/null
+++ b/bench/primary-fault.ts
@@ -0,0 +1,2 @@
+/** How a primary is lost. */
+export type PrimaryFault = 'kill' | 'cut' | 'freeze';
--- a/bench/statements.ts
+++ b/bench/statements.ts
@@ -36,10 +36,10 @@
 	for (const hostCount of counts) {
 		for (const [name, checkout] of checkouts) {
 			const cost = await measureStatements({hostCount, checkout, isProfiled});
-			const figures = [`idle ${(cost.idle * 100).toFixed(1)} % of a core a host`, `${cost.statement.toFixed(2)} ms a statement`, `median ${cost.median.toFixed(1)} ms`];
+			const figures = [`idle ${(cost.idleCoreShare * 100).toFixed(1)} % of a core a host`, `${cost.statementMs.toFixed(2)} ms a statement`, `median ${cost.medianMs.toFixed(1)} ms`];
 			process.stdout.write(`${hostCount} hosts, ${name}: ${figures.join(', ')}\n`);
-			const total = [...cost.parts.values()].reduce((sum, span) => sum + span, 0);
-			for (const [part, span] of [...cost.parts].toSorted((a, b) => b[1] - a[1])) {
+			const total = [...cost.msByComponent.values()].reduce((sum, span) => sum + span, 0);
+			for (const [part, span] of [...cost.msByComponent].toSorted((a, b) => b[1] - a[1])) {
 				process.stdout.write(`    ${(100 * span / total).toFixed(1).padStart(5)} %  ${part}\n`);
 			}
 		}
--- a/scenarios/apply-fault.ts
+++ b/scenarios/apply-fault.ts
@@ -1,29 +1,29 @@
-import type {Stage} from './stage.ts';
+import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
 /** Applies the faults of a step: signals to processes, cuts and repairs of links, faults of the stand-ins. */
-export async function applyFault(stage: Stage, step: Step): Promise<void> {
-	sendSignals(stage, step);
-	changeLinks(stage, step);
-	await commandStandIns(stage, step);
+export async function applyFault(context: ScenarioContext, step: Step): Promise<void> {
+	sendSignals(context, step);
+	changeLinks(context, step);
+	await commandStandIns(context, step);
 }
 
-function sendSignals(stage: Stage, step: Step): void {
-	const {cluster} = stage;
+function sendSignals(context: ScenarioContext, step: Step): void {
+	const {cluster} = context;
 	const signals = {
 		kill: 'SIGKILL', freeze: 'SIGSTOP', thaw: 'SIGCONT', terminate: 'SIGTERM',
 	} as const;
 	for (const name of ['kill', 'freeze', 'thaw', 'terminate'] as const) {
 		const process = step[name];
 		if (process !== undefined) {
-			stage.transcript.add(`${name} ${process}`);
+			context.transcript.add(`${name} ${process}`);
 			cluster.child(process).signal(signals[name]);
 		}
 	}
 }
 
-function changeLinks(stage: Stage, step: Step): void {
-	const {cluster} = stage;
+function changeLinks(context: ScenarioContext, step: Step): void {
+	const {cluster} = context;
 	if (step.cut !== undefined) {
 		for (const from of step.cut.from) {
 			for (const to of step.cut.to) {
@@ -41,7 +41,7 @@
 	}
 
 	if (step.heal === true) {
-		for (const from of stage.scenario.cluster.zones) {
+		for (const from of context.scenario.cluster.zones) {
 			for (const process of [...cluster.hosts, ...cluster.instances, 'platform']) {
 				cluster.setFault(from, process, {isCut: false});
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-async function commandStandIns({cluster, transcript}: Stage, {platform, answers, restart}: Step): Promise<void> {
+async function commandStandIns({cluster, transcript}: ScenarioContext, {platform, answers, restart}: Step): Promise<void> {
 	if (restart !== undefined) {
 		transcript.add(`restart ${restart}`);
 		await cluster.child(restart).ended;
--- a/scenarios/check-outputs.ts
+++ b/scenarios/check-outputs.ts
@@ -1,21 +1,21 @@
 import {expect} from 'chai';
 import {parseEvent} from '@sapphirefall/events';
 import type {Cluster} from '../stand-ins/cluster/cluster.ts';
-import type {Stage} from './stage.ts';
+import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
 /** Checks what the processes have written and show, as a step says: that no key is in it, or the number of events. */
-export async function checkOutputs(stage: Stage, step: Step): Promise<void> {
+export async function checkOutputs(context: ScenarioContext, step: Step): Promise<void> {
 	if (step.noKeyShown === true) {
-		await checkKeys(stage);
+		await checkKeys(context);
 	}
 
 	if (step.events !== undefined) {
-		checkEvents(stage, step.events);
+		checkEvents(context, step.events);
 	}
 }
 
-async function checkKeys({cluster, keys}: Stage): Promise<void> {
+async function checkKeys({cluster, keys}: ScenarioContext): Promise<void> {
 	const shown = await Promise.all(cluster.hosts.map(async host => readOperatorPages(cluster, host)));
 	expect(shown.some(text => text.includes('sapphirefall_requests_total')), 'no host shows its metrics').to.equal(true);
 	for (const process of ['platform', ...cluster.hosts, ...cluster.instances]) {
@@ -42,7 +42,7 @@
 	}
 }
 
-function checkEvents({cluster}: Stage, wanted: NonNullable<Step['events']>): void {
+function checkEvents({cluster}: ScenarioContext, wanted: NonNullable<Step['events']>): void {
 	const found = ['platform', ...cluster.hosts, ...cluster.instances]
 		.flatMap(process => cluster.child(process).readOutput().split('\n'))
 		.map(line => parseEvent(line))
--- a/scenarios/check-tally.ts
+++ b/scenarios/check-tally.ts
@@ -3,9 +3,9 @@
 import {createStatement} from '../stand-ins/cluster/create-statement.ts';
 import {listRows} from '../stand-ins/cluster/list-rows.ts';
 import {sendWrite} from './send-write.ts';
-import type {Stage} from './stage.ts';
+import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
-import type {TalliedWrite} from './tallied-write.ts';
+import type {WriteOutcome} from './write-outcome.ts';
 
 type Tally = NonNullable<Step['tally']>;
 
@@ -21,7 +21,7 @@
 const repeatDelay = 50;
 
 /** Rows that a write may leave, by its answer. */
-const allowed: Readonly<Record<TalliedWrite['answer'], readonly number[]>> = {
+const allowed: Readonly<Record<WriteOutcome['answer'], readonly number[]>> = {
 	done: [1], notRun: [0], unknown: [0, 1],
 };
 
@@ -29,33 +29,33 @@
  * Counts what the writes of a step left in the database against their answers, settles the unknown ones by
  * their keys, and counts again.
  */
-export async function checkTally(stage: Stage, tally: Tally): Promise<void> {
-	const started = stage.writes.get(tally.name);
+export async function checkTally(context: ScenarioContext, tally: Tally): Promise<void> {
+	const started = context.writes.get(tally.name);
 	expect(started, `no writes named ${tally.name} run`).to.not.equal(undefined);
 	const {writes, key} = await started!;
-	stage.transcript.add(`tally ${tally.name}: ${describeTally(writes)}`);
+	context.transcript.add(`tally ${tally.name}: ${describeTally(writes)}`);
 	await sleep(settleSpan);
-	checkRows(writes, await countRows(stage, {tally, key}));
+	checkRows(writes, await countRows(context, {tally, key}));
 	const failed = writes.filter(({answer}) => answer !== 'done');
 	expect(writes.length - failed.length, `writes done beside ${JSON.stringify(failed)}`).to.be.at.least(tally.done);
 	expect(failed.length, 'writes that the fault met').to.be.at.least(tally.failed);
 
 	const settled = await Promise.all(writes.map(async write => write.answer === 'unknown'
-		? sendWrite(stage, {
+		? sendWrite(context, {
 			id: write.id, host: tally.host, key, deadline: repeatDeadline,
 		})
 		: write));
 	expect(settled.filter(({answer}) => answer === 'unknown'), 'writes that a repeat did not settle').to.deep.equal([]);
-	checkRows(settled, await countRows(stage, {tally, key}));
+	checkRows(settled, await countRows(context, {tally, key}));
 }
 
-function describeTally(writes: readonly TalliedWrite[]): string {
+function describeTally(writes: readonly WriteOutcome[]): string {
 	return (['done', 'notRun', 'unknown'] as const)
 		.map(kind => `${kind} ${writes.filter(({answer}) => answer === kind).length}`)
 		.join(', ');
 }
 
-function checkRows(writes: readonly TalliedWrite[], rows: ReadonlyMap<string, number>): void {
+function checkRows(writes: readonly WriteOutcome[], rows: ReadonlyMap<string, number>): void {
 	const wrong = writes
 		.map(write => ({...write, rows: rows.get(write.id) ?? 0}))
 		.filter(({answer, rows}) => !allowed[answer].includes(rows));
@@ -64,7 +64,7 @@
 
 /** Counts the rows of each write in the latest state; repeats until the database can be read. */
 async function countRows(
-	{cluster, scenario}: Stage,
+	{cluster, scenario}: ScenarioContext,
 	{tally, key}: {readonly tally: Tally; readonly key: string},
 ): Promise<ReadonlyMap<string, number>> {
 	const deadline = performance.now() + countTimeout;
--- a/scenarios/run-scenario.ts
+++ b/scenarios/run-scenario.ts
@@ -15,9 +15,9 @@
 import {sendCall} from './send-call.ts';
 import {sendWrites} from './send-writes.ts';
 import {waitFor} from './wait-for.ts';
-import type {Answered} from './answered.ts';
+import type {TimedResponse} from './timed-response.ts';
 import type {Scenario} from './scenario.ts';
-import type {Stage} from './stage.ts';
+import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 import type {Transcript} from './transcript.ts';
 
@@ -39,15 +39,15 @@
  */
 export async function runScenario(scenario: Scenario, transcript: Transcript): Promise<void> {
 	const cluster = await startCluster(scenario.cluster);
-	const stage: Stage = {
-		cluster, transcript, scenario, sessions: new Map(), streams: new Map(), calls: new Map(), changes: new Map(), writes: new Map(), keys: new Set(), lost: new Set(),
+	const context: ScenarioContext = {
+		cluster, transcript, scenario, sessions: new Map(), streams: new Map(), calls: new Map(), changes: new Map(), writes: new Map(), keys: new Set(), killedHosts: new Set(),
 	};
 	try {
 		for (const [index, step] of scenario.steps.entries()) {
-			await runNamedStep(stage, {step, index}); // eslint-disable-line no-await-in-loop -- steps follow each other
+			await runNamedStep(context, {step, index}); // eslint-disable-line no-await-in-loop -- steps follow each other
 		}
 	} finally {
-		for (const stream of stage.streams.values()) {
+		for (const stream of context.streams.values()) {
 			stream.close();
 		}
 
@@ -55,28 +55,28 @@
 	}
 }
 
-async function runNamedStep(stage: Stage, {step, index}: {readonly step: Step; readonly index: number}): Promise<void> {
+async function runNamedStep(context: ScenarioContext, {step, index}: {readonly step: Step; readonly index: number}): Promise<void> {
 	try {
-		await runStep(stage, step);
+		await runStep(context, step);
 	} catch (error) {
 		throw new Error(`step ${index + 1} ${JSON.stringify(step)}: ${(error as Error).message}`, {cause: error});
 	}
 }
 
-async function runStep(stage: Stage, step: Step): Promise<void> {
-	await runCallStep(stage, step);
-	await applyFault(stage, step);
+async function runStep(context: ScenarioContext, step: Step): Promise<void> {
+	await runCallStep(context, step);
+	await applyFault(context, step);
 	if (step.loseAcceptors === true) {
-		await loseAcceptors(stage);
+		await loseAcceptors(context);
 	}
 
-	await waitFor(stage, step);
-	await checkOutputs(stage, step);
+	await waitFor(context, step);
+	await checkOutputs(context, step);
 }
 
-async function runBurst(stage: Stage, burst: NonNullable<Step['burst']>): Promise<void> {
-	const {hosts} = stage.cluster;
-	const sending = Array.from({length: burst.count}, async (_, index) => sendCall(stage, {
+async function runBurst(context: ScenarioContext, burst: NonNullable<Step['burst']>): Promise<void> {
+	const {hosts} = context.cluster;
+	const sending = Array.from({length: burst.count}, async (_, index) => sendCall(context, {
 		host: hosts[index % hosts.length] ?? '', key: burst.key, read: burst.read, statements: burst.statements, times: 1, stream: false,
 	}));
 	const answered = await Promise.all(sending);
@@ -84,45 +84,45 @@
 	expect(done).to.be.within(burst.done.least, burst.done.most);
 }
 
-async function runCallStep(stage: Stage, step: Step): Promise<void> {
+async function runCallStep(context: ScenarioContext, step: Step): Promise<void> {
 	const {
 		call, change, join, burst, writes, tally,
 	} = step;
 	if (burst !== undefined) {
-		await runBurst(stage, burst);
+		await runBurst(context, burst);
 	}
 
 	if (writes !== undefined) {
-		await startWrites(stage, writes);
+		await startWrites(context, writes);
 	}
 
 	if (tally !== undefined) {
-		await checkTally(stage, tally);
+		await checkTally(context, tally);
 	}
 
 	if (call !== undefined) {
-		await runCall(stage, call);
+		await runCall(context, call);
 	}
 
 	if (change !== undefined) {
-		await runChange(stage, change);
+		await runChange(context, change);
 	}
 
 	if (join !== undefined) {
-		await runJoin(stage, join);
+		await runJoin(context, join);
 	}
 }
 
 /** Starts the writes of a step, and waits until so many are done that a fault comes in their midst. */
-async function startWrites(stage: Stage, writes: NonNullable<Step['writes']>): Promise<void> {
+async function startWrites(context: ScenarioContext, writes: NonNullable<Step['writes']>): Promise<void> {
 	let done = 0;
 	const onDone = () => {
 		done++;
 	};
 
-	const run = async () => ({key: writes.key, writes: await sendWrites(stage, {writes, onDone})});
-	stage.writes.set(writes.name, run());
-	stage.transcript.add(`start ${writes.count} writes ${writes.name}`);
+	const run = async () => ({key: writes.key, writes: await sendWrites(context, {writes, onDone})});
+	context.writes.set(writes.name, run());
+	context.transcript.add(`start ${writes.count} writes ${writes.name}`);
 	const deadline = performance.now() + startTimeout;
 	while (done < writes.after) {
 		expect(performance.now(), `only ${done} writes ${writes.name} are done`).to.be.below(deadline);
@@ -130,46 +130,46 @@
 	}
 }
 
-async function runJoin(stage: Stage, join: NonNullable<Step['join']>): Promise<void> {
-	const call = stage.calls.get(join.name);
+async function runJoin(context: ScenarioContext, join: NonNullable<Step['join']>): Promise<void> {
+	const call = context.calls.get(join.name);
 	if (call !== undefined) {
 		const answered = await call;
-		stage.transcript.add(`join ${join.name}: ${formatAnswer(answered.response)}`);
-		checkAnswer(answered.response, {expected: join.expect ?? {}, elapsed: answered.elapsed});
+		context.transcript.add(`join ${join.name}: ${formatAnswer(answered.response)}`);
+		checkAnswer(answered.response, {expected: join.expect ?? {}, elapsed: answered.elapsedMs});
 	}
 
-	const changed = stage.changes.get(join.name);
+	const changed = context.changes.get(join.name);
 	if (changed !== undefined) {
 		const {code} = await changed;
-		stage.transcript.add(`join ${join.name}: code ${code}`);
+		context.transcript.add(`join ${join.name}: code ${code}`);
 		expect(code).to.equal(join.code ?? 0);
 	}
 
 	expect(call ?? changed, `nothing named ${join.name} runs`).to.not.equal(undefined);
 }
 
-async function runCall(stage: Stage, call: Call): Promise<void> {
+async function runCall(context: ScenarioContext, call: Call): Promise<void> {
 	if (call.background !== undefined) {
-		stage.calls.set(call.background, sendCall(stage, call));
-		stage.transcript.add(`start ${call.background}: ${describeCall(call)}`);
+		context.calls.set(call.background, sendCall(context, call));
+		context.transcript.add(`start ${call.background}: ${describeCall(call)}`);
 		return;
 	}
 
 	const deadline = performance.now() + (call.until ?? 0);
 	for (let count = 0; count < call.times; count++) {
-		const answered = await sendUntil(stage, {call, deadline}); // eslint-disable-line no-await-in-loop
+		const answered = await sendUntil(context, {call, deadline}); // eslint-disable-line no-await-in-loop
 		if (count === 0) {
-			stage.transcript.add(`${describeCall(call)}: ${formatAnswer(answered.response)}`);
+			context.transcript.add(`${describeCall(call)}: ${formatAnswer(answered.response)}`);
 		}
 	}
 }
 
 /** Sends a call until its answer is as expected or the time is over; then the difference is thrown. */
-async function sendUntil(stage: Stage, {call, deadline}: {readonly call: Call; readonly deadline: number}): Promise<Answered> {
+async function sendUntil(context: ScenarioContext, {call, deadline}: {readonly call: Call; readonly deadline: number}): Promise<TimedResponse> {
 	for (;;) {
-		const answered = await sendCall(stage, call); // eslint-disable-line no-await-in-loop
+		const answered = await sendCall(context, call); // eslint-disable-line no-await-in-loop
 		try {
-			checkAnswer(answered.response, {expected: call.expect ?? {}, elapsed: answered.elapsed});
+			checkAnswer(answered.response, {expected: call.expect ?? {}, elapsed: answered.elapsedMs});
 			return answered;
 		} catch (error) {
 			if (performance.now() >= deadline) {
@@ -187,15 +187,15 @@
 	return `${call.host} ${kind} [${statements.join('; ')}]`;
 }
 
-async function runChange(stage: Stage, change: Change): Promise<void> {
-	const sending = sendChange(stage, change);
+async function runChange(context: ScenarioContext, change: Change): Promise<void> {
+	const sending = sendChange(context, change);
 	if (change.background !== undefined) {
-		stage.changes.set(change.background, sending);
+		context.changes.set(change.background, sending);
 		return;
 	}
 
-	const response = await repeatChange(stage, {change, first: await sending});
-	stage.transcript.add(`change: code ${response.code}, version ${response.version}`);
+	const response = await repeatChange(context, {change, first: await sending});
+	context.transcript.add(`change: code ${response.code}, version ${response.version}`);
 	expect(response.code, response.reason).to.equal(change.code);
 	if (change.reason !== undefined) {
 		expect(response.reason).to.include(change.reason);
@@ -204,26 +204,26 @@
 
 /** Repeats a change until it has the expected code or the time is over. */
 async function repeatChange(
-	stage: Stage,
+	context: ScenarioContext,
 	{change, first}: {readonly change: Change; readonly first: ChangeResponse},
 ): Promise<ChangeResponse> {
 	const deadline = performance.now() + change.until;
 	let response = first;
 	while (response.code !== change.code && performance.now() < deadline) {
 		await sleep(repeatDelay); // eslint-disable-line no-await-in-loop -- attempts follow each other
-		response = await sendChange(stage, change); // eslint-disable-line no-await-in-loop
+		response = await sendChange(context, change); // eslint-disable-line no-await-in-loop
 	}
 
 	return response;
 }
 
-async function sendChange(stage: Stage, change: Change): Promise<ChangeResponse> {
+async function sendChange(context: ScenarioContext, change: Change): Promise<ChangeResponse> {
 	if (change.key !== undefined) {
-		stage.keys.add(change.key.name);
+		context.keys.add(change.key.name);
 	}
 
-	const host = findHost(stage, change.host ?? stage.cluster.hosts[0] ?? '');
-	const response = await stage.cluster.operator(host).change({
+	const host = findHost(context, change.host ?? context.cluster.hosts[0] ?? '');
+	const response = await context.cluster.operator(host).change({
 		changeId: randomUUID(), basedOn: change.basedOn ?? 0, change: createChange(change),
 	});
 	return create(ChangeResponseSchema, response);
--- a/scenarios/send-call.ts
+++ b/scenarios/send-call.ts
@@ -1,37 +1,37 @@
 import type {CallerStream} from '../stand-ins/cluster/caller-stream.ts';
 import {createStatement} from '../stand-ins/cluster/create-statement.ts';
 import {findHost} from './find-host.ts';
-import type {Answered} from './answered.ts';
-import type {Stage} from './stage.ts';
+import type {TimedResponse} from './timed-response.ts';
+import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
 type Call = NonNullable<Step['call']>;
 
 /** Sends a caller's request once, and keeps the session token that comes back. */
-export async function sendCall(stage: Stage, call: Call): Promise<Answered> {
+export async function sendCall(context: ScenarioContext, call: Call): Promise<TimedResponse> {
 	const sentAt = performance.now();
-	const response = await findCaller(stage, call).execute({
+	const response = await findCaller(context, call).execute({
 		requestId: call.background ?? '',
-		database: call.route === undefined ? call.database ?? stage.scenario.cluster.databases[0] ?? '' : '',
+		database: call.route === undefined ? call.database ?? context.scenario.cluster.databases[0] ?? '' : '',
 		route: call.route ?? '',
 		statements: call.statements.map(statement => typeof statement === 'string'
 			? createStatement(statement)
 			: createStatement(statement.sql, statement.parameters)),
 		kind: createKind(call),
-		session: call.token ?? stage.sessions.get(call.session ?? '') ?? '',
+		session: call.token ?? context.sessions.get(call.session ?? '') ?? '',
 		deadlineMs: call.deadline ?? 0,
 	});
 	if (call.session !== undefined && response.answer.case === 'done' && response.answer.value.session !== '') {
-		stage.sessions.set(call.session, response.answer.value.session);
+		context.sessions.set(call.session, response.answer.value.session);
 	}
 
-	return {response, elapsed: performance.now() - sentAt};
+	return {response, elapsedMs: performance.now() - sentAt};
 }
 
 /** Finds the open stream of a call that uses one, and else a client. */
-function findCaller(stage: Stage, {host: name, key = '', stream}: Call): Pick<CallerStream, 'execute'> {
-	const {cluster, streams} = stage;
-	const host = findHost(stage, name);
+function findCaller(context: ScenarioContext, {host: name, key = '', stream}: Call): Pick<CallerStream, 'execute'> {
+	const {cluster, streams} = context;
+	const host = findHost(context, name);
 	if (!stream) {
 		return cluster.caller(host, key);
 	}
--- a/scenarios/send-write.ts
+++ b/scenarios/send-write.ts
@@ -1,6 +1,6 @@
 import {createStatement} from '../stand-ins/cluster/create-statement.ts';
-import type {Stage} from './stage.ts';
-import type {TalliedWrite} from './tallied-write.ts';
+import type {ScenarioContext} from './scenario-context.ts';
+import type {WriteOutcome} from './write-outcome.ts';
 
 type Options = {
 	/** The row that the write inserts, and its idempotency key. */
@@ -16,11 +16,11 @@
 
 /** Sends a write that inserts one row of the table `entry`; a call that is cut or silent counts as unknown. */
 export async function sendWrite(
-	{cluster, scenario}: Stage,
+	{cluster, scenario}: ScenarioContext,
 	{
 		id, host, key, deadline,
 	}: Options,
-): Promise<TalliedWrite> {
+): Promise<WriteOutcome> {
 	const sentAt = performance.now();
 	const describe = (reason: string) => `${host} ${Math.round(performance.now() - sentAt)} ms ${reason}`;
 	try {
--- a/scenarios/answered.ts
+++ b/scenarios/timed-response.ts
@@ -1,4 +1,4 @@
 import type {ExecuteResponse} from '@sapphirefall/wire';
 
 /** An answer and the milliseconds that it took. */
-export type Answered = {readonly response: ExecuteResponse; readonly elapsed: number};
+export type TimedResponse = {readonly response: ExecuteResponse; readonly elapsedMs: number};
--- a/scenarios/wait-for.ts
+++ b/scenarios/wait-for.ts
@@ -1,30 +1,30 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {expect} from 'chai';
 import type {Cluster} from '../stand-ins/cluster/cluster.ts';
-import type {Stage} from './stage.ts';
+import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
 /** Milliseconds between two looks at what hosts know. */
 const repeatDelay = 20;
 
 /** Waits as a step says: for a time, for what hosts know, or for the end of a process. */
-export async function waitFor(stage: Stage, {wait, waitFor: wanted, exit}: Step): Promise<void> {
+export async function waitFor(context: ScenarioContext, {wait, waitFor: wanted, exit}: Step): Promise<void> {
 	if (wait !== undefined) {
 		await sleep(wait);
 	}
 
 	if (wanted !== undefined) {
-		await waitForStatus(stage, wanted);
+		await waitForStatus(context, wanted);
 	}
 
 	if (exit !== undefined) {
-		const {cluster} = stage;
+		const {cluster} = context;
 		const code = await Promise.race([cluster.child(exit.process).ended, sleep(exit.within, 'late')]);
 		expect(code).to.equal(exit.code);
 	}
 }
 
-async function waitForStatus({cluster, scenario}: Stage, wanted: NonNullable<Step['waitFor']>): Promise<void> {
+async function waitForStatus({cluster, scenario}: ScenarioContext, wanted: NonNullable<Step['waitFor']>): Promise<void> {
 	const deadline = performance.now() + wanted.within;
 	const database = wanted.database ?? scenario.cluster.databases[0];
 	for (const host of wanted.hosts ?? cluster.hosts) {
--- a/scenarios/tallied-write.ts
+++ b/scenarios/write-outcome.ts
@@ -1,5 +1,5 @@
 /** A write of a `writes` step, and which of the three answers its caller got; a cut call counts as unknown. */
-export type TalliedWrite = {
+export type WriteOutcome = {
 	readonly id: string;
 	readonly answer: 'done' | 'notRun' | 'unknown';
 	/** Milliseconds to the answer, and the reason when it is not done. */
