--- a/xo.config.js
+++ b/xo.config.js
@@ -1,13 +1,13 @@
 /** @type {import('xo').FlatXoConfig} */
 const config = [
 	{
-		// Generated code, and two short files that no TypeScript project holds.
+		// Generated and built code, and this file, which belongs to no TypeScript project.
 		ignores: ['packages/wire/gen/**', 'out/**', 'bin/**', 'xo.config.js'],
 	},
 	{
 		files: ['**/*.ts'],
 		rules: {
-			// The house style wins over XO: null is a SQL value, and modules end in .ts as Node resolves them.
+			// Exceptions to XO's rules: null is a SQL value, and imports name the .ts extension because Node resolves them so.
 			'@typescript-eslint/no-restricted-types': 'off',
 			'import-x/extensions': 'off',
 			'@typescript-eslint/switch-exhaustiveness-check': ['error', {considerDefaultExhaustiveForUnions: true}],
