--- a/bench/deployment.ts
+++ b/bench/deployment.ts
@@ -1,9 +1,9 @@
 import type {LoadPlan} from '@sapphirefall/load';
 
-/** One of the users' deployments at today's sizes. */
+/** A deployment of a user of this project, with its current sizes. */
 export type Deployment = {
 	readonly name: string;
-	/** Milliseconds from zone to zone, one way. */
+	/** One-way delay between zones, in milliseconds. */
 	readonly zoneDelay: number;
 	readonly databases: readonly string[];
 	readonly slots: number;
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -1,19 +1,23 @@
 import type {Deployment} from './deployment.ts';
 
-type Mix = {readonly write: number; readonly latest: number; readonly session: number; readonly within: number};
+type RequestMix = {readonly write: number; readonly latest: number; readonly session: number; readonly within: number};
 
-const smallOffered = 5;
-const largeOffered = 20;
-const workspacesEach = 8;
-const largeEach = 2;
+/** Requests a second of a small and of a large workspace, on average. */
+const smallRequestRate = 5;
+const largeRequestRate = 20;
+const workspaceCount = 8;
+const largeWorkspaceCount = 2;
 
-/** Room of a workspace's rate over what it offers on average. */
-const rateRoom = 1.6;
+/** Factor by which a workspace's rate exceeds its average load. */
+const rateHeadroom = 1.6;
 
-/** Seconds of its rate that a workspace's burst holds. */
+/** Size of a workspace's burst, in seconds of its rate. */
 const burstSeconds = 4;
 
-/** The cooperative's members are patient; Kulebane's teachers order and amend in one sitting. */
+/**
+ * The deployments that are measured. Most reads of the cooperative's members accept stale data; Kulebane's teachers place
+ * an order and amend it in one session, which takes more writes, session reads and latest reads.
+ */
 export const deployments: readonly Deployment[] = [
 	{
 		name: 'cooperative',
@@ -37,12 +41,12 @@
 	},
 ];
 
-function createWorkspaces(databaseNames: string, mix: Mix): Deployment['workspaces'] {
+function createWorkspaces(databaseNames: string, mix: RequestMix): Deployment['workspaces'] {
 	const databases = databaseNames.split(' ');
 	const cost = (mix.write * 4) + (mix.latest * 4) + (mix.session * 2) + mix.within;
-	return Array.from({length: workspacesEach}, (_, index) => {
-		const offered = index < largeEach ? largeOffered : smallOffered;
-		const rate = offered * cost * rateRoom;
+	return Array.from({length: workspaceCount}, (_, index) => {
+		const offered = index < largeWorkspaceCount ? largeRequestRate : smallRequestRate;
+		const rate = offered * cost * rateHeadroom;
 		return {
 			name: `w${index + 1}`,
 			key: `Key-Of-W${index + 1}`,
--- a/bench/failover.ts
+++ b/bench/failover.ts
@@ -2,7 +2,7 @@
 import {measureFailover} from './measure-failover.ts';
 import type {PrimaryFault} from './primary-fault.ts';
 
-/** Milliseconds within which every write gap must stay. */
+/** Greatest allowed write gap, in milliseconds. */
 const target = 2000;
 
 const rounds = Number(process.argv[2] ?? 20);
--- a/bench/fit-line.ts
+++ b/bench/fit-line.ts
@@ -1,7 +1,7 @@
-/** A measured dependence: `y = intercept + slope * x`, and the share of the variance that the line explains. */
+/** A fitted line `y = intercept + slope * x`; `fit` is the share of the variance that it explains (R²). */
 type Line = {readonly slope: number; readonly intercept: number; readonly fit: number};
 
-/** Fits a line to points by least squares. */
+/** Fits a line to points by the method of least squares. */
 export function fitLine(points: ReadonlyArray<readonly [number, number]>): Line {
 	const count = points.length;
 	const meanX = sum(points.map(([x]) => x)) / count;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -11,33 +11,33 @@
 
 type Phase = Parameters<typeof runPhase>[1]['phase'];
 
-/** Milliseconds between two phases. */
-const pauseBetween = 3000;
+/** Pause between two phases, in milliseconds, in which token buckets fill and processes settle. */
+const phasePauseMs = 3000;
 
-/** Phases to run; all when none is named. */
-const wanted = process.argv.slice(2);
+/** Phases named on the command line; if empty, all run but the opt-in ones. */
+const selectedPhases = process.argv.slice(2);
 
-/** Phases that run only when they are named. */
-const onlyNamed = new Set(['askEveryTime']);
+/** Phases that run only when they are named on the command line. */
+const optInPhases = new Set(['askEveryTime']);
 
-const isWanted = (name: string) => wanted.includes(name) || (wanted.length === 0 && !onlyNamed.has(name));
+const isSelected = (name: string) => selectedPhases.includes(name) || (selectedPhases.length === 0 && !optInPhases.has(name));
 
-/** Loans that hosts asked others and themselves for. */
-const borrowMetric = 'sapphirefall_borrows_total';
+/** Metric that counts the loans that hosts requested, from other hosts or from themselves. */
+const loanRequestMetric = 'sapphirefall_borrows_total';
 
-/** Seed of the load in the first phase; each further phase has the next one, whichever run. */
+/** Seed of the load in the first phase. Each later phase uses the next seed, also when only some phases run. */
 const firstSeed = 100;
 
 const noFault = () => undefined;
-const zoneOfFault = 'c';
+const isolatedZone = 'c';
 
-/** Tenant that offers five times its rate, and the factor over its average load that gives that. */
-const floodName = 'w5';
+/** Workspace that sends five times its rate. Its rate is 1.6 times its average load, so that is 8 times its average load. */
+const floodWorkspace = 'w5';
 const floodFactor = 8;
 
 function createPhases(deployment: Deployment): Readonly<Record<string, Omit<Phase, 'seed'>>> {
 	const [database = ''] = deployment.databases;
-	const outside = ['host-a1', 'host-a2', 'host-a3', 'host-b1', 'host-b2', 'host-b3'];
+	const hostsOutsideZone = ['host-a1', 'host-a2', 'host-a3', 'host-b1', 'host-b2', 'host-b3'];
 	return {
 		health: {duration: 10_000, fail: noFault, repair: noFault},
 		primaryReadsOnly: {
@@ -65,7 +65,7 @@
 		},
 		hostKilled: {
 			duration: 12_000,
-			targets: outside,
+			targets: hostsOutsideZone,
 			fail(cluster) {
 				cluster.child('host-c2').signal('SIGKILL');
 			},
@@ -75,12 +75,12 @@
 		},
 		zoneCut: {
 			duration: 12_000,
-			targets: outside,
+			targets: hostsOutsideZone,
 			fail(cluster) {
-				cluster.setZoneCut(zoneOfFault, true);
+				cluster.setZoneCut(isolatedZone, true);
 			},
 			repair(cluster) {
-				cluster.setZoneCut(zoneOfFault, false);
+				cluster.setZoneCut(isolatedZone, false);
 			},
 		},
 		primaryKilled: {
@@ -96,7 +96,7 @@
 			duration: 10_000,
 			fail: noFault,
 			repair: noFault,
-			change: workspaces => workspaces.map(workspace => workspace.name === floodName
+			change: workspaces => workspaces.map(workspace => workspace.name === floodWorkspace
 				? {...workspace, offered: workspace.offered * floodFactor}
 				: workspace),
 		},
@@ -109,16 +109,16 @@
 		await sleep(2000);
 		const phases = Object.entries(createPhases(deployment))
 			.map(([name, phase], index) => ({name, phase: {...phase, seed: firstSeed + index}}))
-			.filter(({name}) => isWanted(name));
-		const overhead = isWanted('overhead') ? await measureOverhead(cluster, deployment) : undefined;
+			.filter(({name}) => isSelected(name));
+		const overhead = isSelected('overhead') ? await measureOverhead(cluster, deployment) : undefined;
 		console.log(`\n${deployment.name}: overhead ${JSON.stringify(overhead)}`);
 		const summaries: Record<string, LoadSummary> = {};
 		for (const {name, phase} of phases) {
-			const run = name === 'health' ? runCounted : runPhase;
+			const run = name === 'health' ? runPhaseWithLoanCount : runPhase;
 			const summary = await run(cluster, {deployment, phase}); // eslint-disable-line no-await-in-loop
 			summaries[name] = summary;
 			console.log(`\n${deployment.name}: ${name}\n${formatSummary(summary)}`);
-			await sleep(pauseBetween); // eslint-disable-line no-await-in-loop -- buckets fill and processes settle
+			await sleep(phasePauseMs); // eslint-disable-line no-await-in-loop -- token buckets fill and processes settle
 		}
 
 		return {overhead, summaries};
@@ -127,18 +127,18 @@
 	}
 }
 
-/** Settings of rates that are baselines of the loans: an even split over the hosts, and a loan for each request. */
+/** Rate settings to compare the loans with: an even split over the hosts, and a loan for each request. */
 const baselines: Readonly<Record<string, Readonly<Record<string, unknown>>>> = {
 	staticSplit: {reserve: 1, reserveSpan: 1000},
 	askEveryTime: {prefetch: 0},
 };
 
-/** Measures health with other settings of rates. */
+/** Measures the `health` phase with other rate settings. */
 async function benchBaseline(deployment: Deployment, rate: Readonly<Record<string, unknown>>): Promise<LoadSummary> {
 	const cluster = await startDeployment(deployment, {hostsPerZone: 3, host: {rate}, serviceTime: 2});
 	try {
 		await sleep(2000);
-		return await runCounted(cluster, {
+		return await runPhaseWithLoanCount(cluster, {
 			deployment, phase: {
 				duration: 10_000, fail: noFault, repair: noFault, seed: firstSeed,
 			},
@@ -148,23 +148,23 @@
 	}
 }
 
-/** Runs a phase and says how often hosts asked another one for units. */
-async function runCounted(cluster: Cluster, options: Parameters<typeof runPhase>[1]): Promise<LoadSummary> {
-	const before = await readMetric(cluster, {name: borrowMetric});
+/** Runs a phase and prints how many loans hosts requested during it. */
+async function runPhaseWithLoanCount(cluster: Cluster, options: Parameters<typeof runPhase>[1]): Promise<LoadSummary> {
+	const before = await readMetric(cluster, {name: loanRequestMetric});
 	const summary = await runPhase(cluster, options);
-	const borrows = await readMetric(cluster, {name: borrowMetric}) - before;
+	const borrows = await readMetric(cluster, {name: loanRequestMetric}) - before;
 	console.log(`\n${borrows} loans asked for`);
 	return summary;
 }
 
-function pickMeasures(summary: LoadSummary | undefined) {
+function selectMeasures(summary: LoadSummary | undefined) {
 	return summary === undefined
 		? undefined
 		: {
 			replicaShare: summary.replicaShare,
 			writeGapMs: summary.writeGapMs,
 			worstWorkspace: summary.worstWorkspace,
-			worstOfOthers: Math.min(...Object.entries(summary.workspaces).filter(([name]) => name !== floodName).map(([, share]) => share)),
+			worstOfOthers: Math.min(...Object.entries(summary.workspaces).filter(([name]) => name !== floodWorkspace).map(([, share]) => share)),
 			wrongfulRefusals: summary.wrongfulRefusals,
 			p99WriteMs: summary.latency.write.p99,
 			wrongAnswers: summary.violations.length,
@@ -174,20 +174,20 @@
 const results: Record<string, unknown> = {};
 let wrongAnswers = 0;
 for (const deployment of deployments) {
-	// eslint-disable-next-line no-await-in-loop -- two deployments at once would share the machine
+	// eslint-disable-next-line no-await-in-loop -- two deployments at once would compete for the machine
 	const {overhead, summaries} = await benchDeployment(deployment);
 	const all: Record<string, LoadSummary> = {...summaries};
-	for (const [name, rate] of Object.entries(baselines).filter(([name]) => isWanted(name))) {
+	for (const [name, rate] of Object.entries(baselines).filter(([name]) => isSelected(name))) {
 		all[name] = await benchBaseline(deployment, rate); // eslint-disable-line no-await-in-loop
 		console.log(`\n${deployment.name}: ${name}\n${formatSummary(all[name])}`);
 	}
 
 	wrongAnswers += Object.values(all).reduce((sum, {violations}) => sum + violations.length, 0);
 	results[deployment.name] = {
-		...pickMeasures(summaries['health']),
+		...selectMeasures(summaries['health']),
 		writeGapMs: summaries['primaryKilled']?.writeGapMs,
 		overhead,
-		phases: Object.fromEntries(Object.entries(all).map(([name, summary]) => [name, pickMeasures(summary)])),
+		phases: Object.fromEntries(Object.entries(all).map(([name, summary]) => [name, selectMeasures(summary)])),
 	};
 }
 
--- a/bench/measure-calls.ts
+++ b/bench/measure-calls.ts
@@ -4,17 +4,21 @@
 import {createFleetPeer, serveFleet} from '@sapphirefall/hosts';
 import type {FleetPeer, SessionLog} from '@sapphirefall/sessions';
 
-/** Calls that are made before counting, and while. */
+/** Calls that are made before the measurement starts, and calls that are measured. */
 const warmUpCalls = 2000;
 const countedCalls = 20_000;
 
 const log: SessionLog = {debug: () => undefined, info: () => undefined, warn: () => undefined};
 
-/** Microseconds of processor time that a call between hosts costs, both ends in this process, with some in flight. */
+/**
+ * Measures the processor time of a call between hosts, in microseconds. Both ends run in this process.
+ *
+ * @param inFlight Number of calls in flight at the same time.
+ */
 export async function measureCalls(inFlight: number): Promise<number> {
-	const ask = async () => undefined;
+	const answerNothing = async () => undefined;
 	const own: FleetPeer = {
-		readTables: ask, claimRates: ask, fenceGroup: ask, confirmSilence: ask, runJob: ask, ping: async () => true,
+		readTables: answerNothing, claimRates: answerNothing, fenceGroup: answerNothing, confirmSilence: answerNothing, runJob: answerNothing, ping: async () => true,
 	};
 	const server = serveFleet({host: '127.0.0.1', port: 0}, {own, log});
 	await new Promise(resolve => {
--- a/bench/measure-decisions.ts
+++ b/bench/measure-decisions.ts
@@ -44,22 +44,22 @@
 		}).state;
 }
 
-/** Milliseconds for which a task is repeated to take its time. */
-const span = 300;
+/** Shortest time for which a task is repeated to measure it, in milliseconds. */
+const minDurationMs = 300;
 
-/** Returns the microseconds that one run of a task takes. */
-function timeTask(task: (round: number) => void): number {
+/** Measures the average time of one run of a task, in microseconds. */
+function measureTask(task: (round: number) => void): number {
 	const startedAt = performance.now();
 	let rounds = 0;
 	do {
 		task(rounds);
 		rounds++;
-	} while (performance.now() - startedAt < span);
+	} while (performance.now() - startedAt < minDurationMs);
 
 	return (performance.now() - startedAt) * 1000 / rounds;
 }
 
-function countBytes(state: HostState): number {
+function countExchangeBytes(state: HostState): number {
 	return toBinary(ExchangeMessageSchema, encodeExchange({
 		id: state.membership.self,
 		incarnation: state.membership.incarnation,
@@ -91,20 +91,20 @@
 	return {what, unit: options.unit, ...fitLine(points)};
 }
 
-/** Measures how the cost of the decisions grows with hosts, databases and workspaces. */
+/** Measures how the cost of the decision functions grows with the number of hosts, databases and workspaces. */
 export function measureDecisions(): readonly Slope[] {
 	return [
 		measureSlope('one step of the loop among 940 hosts, by databases', {
 			unit: 'µs a database', sizes: [100, 400, 1000], measure(size) {
 				const state = createState(940, size);
-				return timeTask(round => stepHost(state, {event: {kind: 'tick'}, settings, now: 1e6 + (round * 20)}));
+				return measureTask(round => stepHost(state, {event: {kind: 'tick'}, settings, now: 1e6 + (round * 20)}));
 			},
 		}),
 		measureSlope('assigning watches anew, by hosts, for 1,000 databases', {
 			unit: 'µs a host', sizes: [100, 400, 940], measure(size) {
 				const hosts = createHosts(size);
 				const groups = createGroups(1000);
-				return timeTask(() => {
+				return measureTask(() => {
 					for (const group of groups) {
 						assignWatch(group, {
 							self: 'host-0', live: hosts, listed: hosts, present: undefined, now: 0,
@@ -116,13 +116,13 @@
 		measureSlope('finding the home of a workspace, by hosts', {
 			unit: 'µs a host', sizes: [9, 100, 940], measure(size) {
 				const ids = createHosts(size).map(({id}) => id);
-				return timeTask(round => findHome(`workspace-${round}`, ids));
+				return measureTask(round => findHome(`workspace-${round}`, ids));
 			},
 		}),
 		measureSlope('taking in a report of an instance, by databases', {
 			unit: 'µs a database', sizes: [10, 100, 1000], measure(size) {
 				let state = createState(9, size);
-				return timeTask(round => {
+				return measureTask(round => {
 					const database = `database-${round % size}`;
 					({state} = stepHost(state, {
 						event: {
@@ -135,19 +135,19 @@
 			},
 		}),
 		measureSlope('bytes of an exchange message, by databases', {
-			unit: 'bytes a database', sizes: [10, 100, 1000], measure: size => countBytes(createState(9, size)),
+			unit: 'bytes a database', sizes: [10, 100, 1000], measure: size => countExchangeBytes(createState(9, size)),
 		}),
 		measureSlope('bytes of the configuration, by workspaces', {
 			unit: 'bytes a workspace', sizes: [10, 1000, 10_000], measure: size => JSON.stringify(createLargeConfiguration(size)).length,
 		}),
 		measureSlope('memory of the views of databases', {
-			unit: 'bytes a database', sizes: [100, 1000, 4000], measure: size => measureViews(size),
+			unit: 'bytes a database', sizes: [100, 1000, 4000], measure: size => measureViewBytes(size),
 		}),
 	];
 }
 
-/** Measures the heap that the views of databases take after some reports. */
-function measureViews(count: number): number {
+/** Measures the heap, in bytes, that the group views of databases use after 50 reports from each instance. */
+function measureViewBytes(count: number): number {
 	globalThis.gc?.();
 	const before = process.memoryUsage().heapUsed;
 	const views = createGroups(count).map(group => {
--- a/bench/measure-failover.ts
+++ b/bench/measure-failover.ts
@@ -6,25 +6,27 @@
 import type {Cluster} from '../stand-ins/cluster/cluster.ts';
 import type {PrimaryFault} from './primary-fault.ts';
 
-/** What one failover took, in milliseconds from the fault. */
-type Failover = {
+/** Times of the steps of one failover, in milliseconds after the fault; -1 if a step did not happen. */
+type FailoverTimes = {
 	readonly suspected: number;
 	readonly fenced: number;
 	readonly promoted: number;
-	/** Longest time without an acknowledged write. */
+	/** Longest time between two acknowledged writes, in milliseconds. */
 	readonly writeGapMs: number;
 };
 
 const key = 'Key-Of-Writer';
 const zones = ['a', 'b', 'c'];
-const writeInterval = 20;
-const settleTimeout = 20_000;
+const writeIntervalMs = 20;
 
-/** Measures failovers of one kind, one after the other, under a steady load of writes. */
+/** Greatest time in which the group must have all its instances back after a fault, in milliseconds. */
+const recoveryTimeoutMs = 20_000;
+
+/** Measures failovers after one kind of fault, one after the other, under a steady load of writes. */
 export async function measureFailover(
 	kind: PrimaryFault,
 	options: {readonly zoneDelay: number; readonly rounds: number},
-): Promise<readonly Failover[]> {
+): Promise<readonly FailoverTimes[]> {
 	const cluster = await startCluster({
 		zones,
 		hostsPerZone: 1,
@@ -39,11 +41,11 @@
 	const acknowledged: number[] = [];
 	const writer = {isStopped: false};
 	try {
-		await configure(cluster);
+		await configureWorkspace(cluster);
 		const writing = writeSteadily(cluster, {acknowledged, writer});
-		const failovers: Failover[] = [];
+		const failovers: FailoverTimes[] = [];
 		for (let round = 0; round < options.rounds; round++) {
-			failovers.push(await failOnce(cluster, {kind, acknowledged})); // eslint-disable-line no-await-in-loop
+			failovers.push(await runFailover(cluster, {kind, acknowledged})); // eslint-disable-line no-await-in-loop
 		}
 
 		writer.isStopped = true;
@@ -54,7 +56,7 @@
 	}
 }
 
-async function configure(cluster: Cluster): Promise<void> {
+async function configureWorkspace(cluster: Cluster): Promise<void> {
 	await addWorkspace(cluster, {
 		name: 'writer', key, rate: 100_000, burst: 100_000, database: 'pondbook',
 	});
@@ -87,33 +89,33 @@
 		const task = write(count).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then
 		running.add(task);
 		void task.finally(() => running.delete(task)); // eslint-disable-line promise/prefer-await-to-then
-		await sleep(writeInterval); // eslint-disable-line no-await-in-loop -- the load is steady
+		await sleep(writeIntervalMs); // eslint-disable-line no-await-in-loop -- writes start at a fixed interval
 	}
 
 	await Promise.allSettled(running);
 }
 
-async function failOnce(
+async function runFailover(
 	cluster: Cluster,
 	{kind, acknowledged}: {readonly kind: PrimaryFault; readonly acknowledged: readonly number[]},
-): Promise<Failover> {
-	const primary = await waitForHealth(cluster);
+): Promise<FailoverTimes> {
+	const primary = await waitForHealthyGroup(cluster);
 	await sleep(500);
 	const failedAt = Date.now();
-	inflict(cluster, {kind, primary});
+	injectFault(cluster, {kind, primary});
 	await sleep(2500);
-	repair(cluster, {kind, primary});
+	removeFault(cluster, {kind, primary});
 	const times = [...acknowledged].filter(time => time >= failedAt - 500).toSorted((a, b) => a - b);
 	const writeGapMs = Math.max(0, ...times.map((time, index) => time - (times[index - 1] ?? time)));
 	return {
-		suspected: findStep(cluster, {step: 'suspected', since: failedAt}),
-		fenced: findStep(cluster, {step: 'fenced', since: failedAt}),
-		promoted: findStep(cluster, {step: 'promoted', since: failedAt}),
+		suspected: findStepDelay(cluster, {step: 'suspected', since: failedAt}),
+		fenced: findStepDelay(cluster, {step: 'fenced', since: failedAt}),
+		promoted: findStepDelay(cluster, {step: 'promoted', since: failedAt}),
 		writeGapMs,
 	};
 }
 
-function inflict(cluster: Cluster, {kind, primary}: {readonly kind: PrimaryFault; readonly primary: string}): void {
+function injectFault(cluster: Cluster, {kind, primary}: {readonly kind: PrimaryFault; readonly primary: string}): void {
 	switch (kind) {
 		case 'kill': {
 			cluster.child(primary).signal('SIGKILL');
@@ -135,7 +137,7 @@
 	}
 }
 
-function repair(cluster: Cluster, {kind, primary}: {readonly kind: PrimaryFault; readonly primary: string}): void {
+function removeFault(cluster: Cluster, {kind, primary}: {readonly kind: PrimaryFault; readonly primary: string}): void {
 	switch (kind) {
 		case 'kill': {
 			cluster.restart(primary);
@@ -157,8 +159,8 @@
 	}
 }
 
-/** Finds when the first host took a step of failover, in milliseconds from the fault; -1 when none did. */
-function findStep(cluster: Cluster, {step, since}: {readonly step: string; readonly since: number}): number {
+/** Finds when the first host reported a failover step, in milliseconds after the fault; -1 if none did. */
+function findStepDelay(cluster: Cluster, {step, since}: {readonly step: string; readonly since: number}): number {
 	const times = cluster.hosts
 		.flatMap(host => cluster.child(host).readOutput().split('\n'))
 		.map(line => parseEvent(line))
@@ -168,9 +170,9 @@
 	return times.length === 0 ? -1 : Math.min(...times) - since;
 }
 
-/** Waits until the group has one primary and two replicas in one term, as a host sees it; returns the primary. */
-async function waitForHealth(cluster: Cluster): Promise<string> {
-	const deadline = Date.now() + settleTimeout;
+/** Waits until a host sees two replicas in the term of the group's primary, and returns the primary. */
+async function waitForHealthyGroup(cluster: Cluster): Promise<string> {
+	const deadline = Date.now() + recoveryTimeoutMs;
 	while (Date.now() < deadline) {
 		const status = await cluster.operator('host-b1').status({}); // eslint-disable-line no-await-in-loop
 		const [group] = status.groups;
@@ -182,5 +184,5 @@
 		await sleep(50); // eslint-disable-line no-await-in-loop
 	}
 
-	throw new Error('The group did not become whole again');
+	throw new Error(`database group has no primary with two replicas of its term after ${recoveryTimeoutMs} ms`);
 }
--- a/bench/measure-overhead.ts
+++ b/bench/measure-overhead.ts
@@ -9,38 +9,38 @@
 import {readMetric} from './read-metric.ts';
 import type {Deployment} from './deployment.ts';
 
-/** What a way through a host costs. */
-type Way = {
-	/** Median milliseconds of a patient read, over that of the same read straight to the replica. */
+/** Cost of a read that a host forwards, by one protocol. */
+type PathCost = {
+	/** Median latency of a read that accepts data up to 10 s old, divided by that of the same read sent straight to the replica. */
 	readonly latencyRatio: number;
 	readonly medianMs: number;
-	/** Microseconds of CPU that hosts use for a request, above what they use idle. */
+	/** CPU time that hosts use for a request, in microseconds, above their use when idle. */
 	readonly cpuMicroseconds: number;
 };
 
 type Overhead = {
-	/** Median milliseconds of the read straight to the replica, over a connection that is open. */
+	/** Median latency of the read sent straight to the replica over an open connection, in milliseconds. */
 	readonly directMs: number;
-	/** A call for each request, over HTTP/1.1. */
-	readonly unary: Way;
+	/** One unary call per request, over HTTP/1.1. */
+	readonly unary: PathCost;
 	/** One open stream for all requests. */
-	readonly stream: Way;
+	readonly stream: PathCost;
 };
 
 const cpuMetric = 'process_cpu_seconds_total';
 
-/** Requests that warm the processes up before figures are taken. */
-const warmUp = 1500;
+/** Requests sent to warm up the processes before measuring. */
+const warmUpRequests = 1500;
 
-const samples = 3000;
+const sampleCount = 3000;
 
-/** Requests under way at a time. */
+/** Requests in flight at a time. */
 const concurrency = 8;
 
-/** Milliseconds over which the CPU of idle hosts is measured. */
-const idleSpan = 3000;
+/** Period over which the CPU use of idle hosts is measured, in milliseconds. */
+const idlePeriodMs = 3000;
 
-/** Measures what a host adds to a read, against the same read sent straight to the replica in the same run. */
+/** Measures the overhead of a host on a read, compared with the same read sent straight to the replica in the same run. */
 export async function measureOverhead(cluster: Cluster, deployment: Deployment): Promise<Overhead> {
 	const [database = ''] = deployment.databases;
 	const directMs = await measureDirect(cluster.instanceUrl(`${database}-b`));
@@ -51,28 +51,28 @@
 	};
 	const stream = cluster.openStream('host-b1', probeKey);
 	const idleBefore = await readMetric(cluster, {name: cpuMetric});
-	await sleep(idleSpan);
-	const idleShare = (await readMetric(cluster, {name: cpuMetric}) - idleBefore) / idleSpan;
+	await sleep(idlePeriodMs);
+	const idleShare = (await readMetric(cluster, {name: cpuMetric}) - idleBefore) / idlePeriodMs;
 
-	const measureWay = async (caller: Pick<CallerStream, 'execute'>): Promise<Way> => {
+	const measurePath = async (caller: Pick<CallerStream, 'execute'>): Promise<PathCost> => {
 		const read = async () => {
 			const {answer} = await caller.execute(request);
 			if (answer.case !== 'done') {
-				throw new Error(`A read was not done: ${answer.value?.reason}`);
+				throw new Error(`read through host-b1 failed: ${answer.value?.reason}`);
 			}
 		};
 
-		await sample(read, warmUp);
+		await measureMedian(read, warmUpRequests);
 		const before = await readMetric(cluster, {name: cpuMetric});
 		const startedAt = performance.now();
-		const medianMs = await sample(read, samples);
+		const medianMs = await measureMedian(read, sampleCount);
 		const elapsed = performance.now() - startedAt;
 		const used = await readMetric(cluster, {name: cpuMetric}) - before - (idleShare * elapsed);
-		return {latencyRatio: medianMs / directMs, medianMs, cpuMicroseconds: used * 1e6 / samples};
+		return {latencyRatio: medianMs / directMs, medianMs, cpuMicroseconds: used * 1e6 / sampleCount};
 	};
 
-	const unary = await measureWay(cluster.caller('host-b1', probeKey));
-	const streamed = await measureWay(stream);
+	const unary = await measurePath(cluster.caller('host-b1', probeKey));
+	const streamed = await measurePath(stream);
 	stream.close();
 	return {directMs, unary, stream: streamed};
 }
@@ -82,26 +82,26 @@
 		heartbeatInterval: 400, silenceLimit: 5000, now: () => performance.now(), onClosed: () => undefined,
 	});
 	const {signal} = new AbortController();
-	const median = await sample(async () => {
+	const median = await measureMedian(async () => {
 		await connection.run({
 			term: 1, isReadOnly: true, step: 'whole', statements: [{sql: 'SELECT 1', parameters: []}],
 		}, signal);
-	}, samples / 2, 1);
+	}, sampleCount / 2, 1);
 	connection.close();
 	return median;
 }
 
-/** Returns the median milliseconds of a task that is run so many times, some at a time. */
-async function sample(task: () => Promise<void>, count: number, width = concurrency): Promise<number> {
+/** Returns the median time of a task, in milliseconds, over `count` runs of which `parallelism` run at a time. */
+async function measureMedian(task: () => Promise<void>, count: number, parallelism = concurrency): Promise<number> {
 	const times: number[] = [];
-	const runSome = async () => {
+	const runWorker = async () => {
 		while (times.length < count) {
 			const startedAt = performance.now();
-			await task(); // eslint-disable-line no-await-in-loop -- one after the other
+			await task(); // eslint-disable-line no-await-in-loop -- each worker runs one task at a time
 			times.push(performance.now() - startedAt);
 		}
 	};
 
-	await Promise.all(Array.from({length: width}, async () => runSome()));
+	await Promise.all(Array.from({length: parallelism}, async () => runWorker()));
 	return times.toSorted((a, b) => a - b)[Math.floor(times.length / 2)] ?? 0;
 }
--- a/bench/measure-processes.ts
+++ b/bench/measure-processes.ts
@@ -8,9 +8,9 @@
 const cpuMetric = 'process_cpu_seconds_total';
 const memoryMetric = 'process_resident_memory_bytes';
 
-const idleSpan = 4000;
+const idlePeriodMs = 4000;
 
-async function start(databases: number, hostsPerZone: number): Promise<Cluster> {
+async function startIdleCluster(databases: number, hostsPerZone: number): Promise<Cluster> {
 	return startCluster({
 		zones: ['a', 'b', 'c'],
 		hostsPerZone,
@@ -24,29 +24,29 @@
 	});
 }
 
-/** Measures the share of a core that an idle host uses, and the platform's reads and writes a second. */
+/** Measures the share of a core that an idle host uses, and the reads and writes per second that the platform receives. */
 async function measureIdle(databases: number, hostsPerZone: number) {
-	const cluster = await start(databases, hostsPerZone);
+	const cluster = await startIdleCluster(databases, hostsPerZone);
 	try {
 		await sleep(2000);
 		const before = await readMetric(cluster, {name: cpuMetric});
 		const counted = await cluster.platform.setFault({});
-		await sleep(idleSpan);
+		await sleep(idlePeriodMs);
 		const after = await cluster.platform.setFault({});
 		const used = await readMetric(cluster, {name: cpuMetric}) - before;
 		return {
-			share: used * 1000 / idleSpan / cluster.hosts.length,
-			reads: (after.reads - counted.reads) * 1000 / idleSpan,
-			writes: (after.writes - counted.writes) * 1000 / idleSpan,
+			share: used * 1000 / idlePeriodMs / cluster.hosts.length,
+			reads: (after.reads - counted.reads) * 1000 / idlePeriodMs,
+			writes: (after.writes - counted.writes) * 1000 / idlePeriodMs,
 		};
 	} finally {
 		await cluster.stop();
 	}
 }
 
-/** Measures the memory that idle callers' connections take in a host. */
+/** Measures the memory, in bytes, that a host uses per idle connection of a caller. */
 async function measureConnections() {
-	const cluster = await start(1, 1);
+	const cluster = await startIdleCluster(1, 1);
 	const sockets: Socket[] = [];
 	const points: Array<[number, number]> = [];
 	try {
@@ -57,7 +57,7 @@
 				sockets.push(connect(Number(port), '127.0.0.1'));
 			}
 
-			await sleep(1000); // eslint-disable-line no-await-in-loop -- the host takes its time
+			await sleep(1000); // eslint-disable-line no-await-in-loop -- lets the host accept the connections
 			points.push([count, await readMetric(cluster, {name: memoryMetric, hosts: ['host-a1']})]); // eslint-disable-line no-await-in-loop
 		}
 
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Measures what idle hosts cost, by databases and by hosts, and what connections of callers take. */
+/** Measures the cost of idle hosts by number of databases and of hosts, and the memory of callers' connections. */
 export async function measureProcesses() {
 	const oneDatabase = await measureIdle(1, 1);
 	const fourDatabases = await measureIdle(4, 1);
--- a/bench/primary-fault.ts
+++ b/bench/primary-fault.ts
@@ -1,2 +1,2 @@
-/** How a primary is lost. */
+/** Fault that makes a primary fail: its process is killed, cut off from all zones, or paused. */
 export type PrimaryFault = 'kill' | 'cut' | 'freeze';
--- a/bench/probe-key.ts
+++ b/bench/probe-key.ts
@@ -1,2 +1,2 @@
-/** Key of the workspace through which a host's overhead is measured; its rate is no limit. */
+/** Key of the workspace that measures a host's overhead; its rate is high enough not to limit the measurement. */
 export const probeKey = 'Key-Of-Probe';
--- a/bench/read-metric.ts
+++ b/bench/read-metric.ts
@@ -1,6 +1,6 @@
 import type {Cluster} from '../stand-ins/cluster/cluster.ts';
 
-/** Reads a metric and sums it over all its labels and over hosts; all entry hosts unless some are named. */
+/** Reads a metric and sums it over all its labels and over the named hosts, by default all hosts of the cluster. */
 export async function readMetric(
 	cluster: Cluster,
 	{name, hosts = cluster.hosts}: {readonly name: string; readonly hosts?: readonly string[]},
--- a/bench/run-phase.ts
+++ b/bench/run-phase.ts
@@ -7,15 +7,15 @@
 
 type Phase = {
 	readonly seed: number;
-	/** Milliseconds. */
+	/** Length of the phase, in milliseconds. */
 	readonly duration: number;
-	/** What goes wrong a quarter into the phase. */
+	/** Causes a fault after a quarter of the phase. */
 	readonly fail: (cluster: Cluster) => Promise<void> | void;
-	/** Puts it right at the end. */
+	/** Repairs the fault after three quarters of the phase. */
 	readonly repair: (cluster: Cluster) => Promise<void> | void;
 	/** Changes the workspaces' load. */
 	readonly change?: (workspaces: Deployment['workspaces']) => Deployment['workspaces'];
-	/** Hosts that callers use; all when absent. */
+	/** Hosts that callers send requests to; all if absent. */
 	readonly targets?: readonly string[];
 };
 
--- a/bench/start-deployment.ts
+++ b/bench/start-deployment.ts
@@ -8,11 +8,11 @@
 	readonly hostsPerZone: number;
 	/** Settings of hosts that differ from the defaults. */
 	readonly host: Readonly<Record<string, unknown>>;
-	/** Milliseconds that a batch occupies a slot of an instance. */
+	/** Time for which a batch occupies a slot of an instance, in milliseconds. */
 	readonly serviceTime: number;
 };
 
-/** Units a second that the workspace of the overhead measurement may use. */
+/** Units per second of the workspace that measures overhead; high enough not to limit it. */
 const probeRate = 1_000_000;
 
 /** Starts a deployment's processes and configures its workspaces and keys. */
@@ -34,7 +34,7 @@
 		name: 'probe', key: probeKey, rate: probeRate, burst: probeRate, database: deployment.databases[0] ?? '',
 	};
 	for (const workspace of [probe, ...deployment.workspaces]) {
-		await addWorkspace(cluster, workspace); // eslint-disable-line no-await-in-loop -- one change after the other
+		await addWorkspace(cluster, workspace); // eslint-disable-line no-await-in-loop -- configuration changes are made one at a time
 	}
 
 	return cluster;
--- a/bench/statements.ts
+++ b/bench/statements.ts
@@ -5,10 +5,10 @@
 import {measureCalls} from './measure-calls.ts';
 import {measureStatements} from './measure-statements.ts';
 
-/** Checkouts that are measured, by name. */
+/** Directories of the checkouts to measure, by the name under which results are printed. */
 type Checkouts = ReadonlyMap<string, string>;
 
-/** Calls in flight for which a call is measured. */
+/** Numbers of calls in flight at which the cost of a call is measured. */
 const callsInFlight = [1, 4, 32];
 
 const cli = cac('bench:statements');
@@ -27,8 +27,8 @@
 
 async function printCallCosts(): Promise<void> {
 	for (const inFlight of callsInFlight) {
-		const span = await measureCalls(inFlight);
-		process.stdout.write(`a call between hosts, ${inFlight} in flight: ${span.toFixed(0)} µs\n`);
+		const microseconds = await measureCalls(inFlight);
+		process.stdout.write(`a call between hosts, ${inFlight} in flight: ${microseconds.toFixed(0)} µs\n`);
 	}
 }
 
@@ -38,9 +38,9 @@
 			const cost = await measureStatements({hostCount, checkout, isProfiled});
 			const figures = [`idle ${(cost.idleCoreShare * 100).toFixed(1)} % of a core a host`, `${cost.statementMs.toFixed(2)} ms a statement`, `median ${cost.medianMs.toFixed(1)} ms`];
 			process.stdout.write(`${hostCount} hosts, ${name}: ${figures.join(', ')}\n`);
-			const total = [...cost.msByComponent.values()].reduce((sum, span) => sum + span, 0);
-			for (const [part, span] of [...cost.msByComponent].toSorted((a, b) => b[1] - a[1])) {
-				process.stdout.write(`    ${(100 * span / total).toFixed(1).padStart(5)} %  ${part}\n`);
+			const total = [...cost.msByComponent.values()].reduce((sum, elapsedMs) => sum + elapsedMs, 0);
+			for (const [component, elapsedMs] of [...cost.msByComponent].toSorted((a, b) => b[1] - a[1])) {
+				process.stdout.write(`    ${(100 * elapsedMs / total).toFixed(1).padStart(5)} %  ${component}\n`);
 			}
 		}
 	}
--- a/bench/summarize-profile.ts
+++ b/bench/summarize-profile.ts
@@ -1,13 +1,13 @@
-/** A processor profile as Node writes it. */
+/** A CPU profile in the format that Node writes with `--cpu-prof`. */
 type Profile = {
 	readonly nodes: ReadonlyArray<{readonly id: number; readonly callFrame: {readonly functionName: string; readonly url: string}}>;
 	readonly samples: readonly number[];
-	/** Microseconds from one sample to the next. */
+	/** Time between consecutive samples, in microseconds. */
 	readonly timeDeltas: readonly number[];
 };
 
-/** What a part of the program is told by, in the address of a function's file; the first that fits counts. */
-const parts: ReadonlyArray<readonly [string, RegExp]> = [
+/** Components, and the pattern that the URL of a function's file matches; the first match counts. */
+const components: ReadonlyArray<readonly [string, RegExp]> = [
 	['lines of callers and instances', /platform\/(?:create-(?:answer-reader|line-splitter)|decode-client|encode-|open-instance|serve-sessions)/v],
 	['store and settings', /platform\//v],
 	['jobs and calls between hosts', /packages\/(?:hosts|wire)\/|bufbuild|connectrpc/v],
@@ -22,30 +22,30 @@
 ];
 
 /**
- * Summarizes the last milliseconds of a profile by part of the program; the time without work is left out.
+ * Sums the time at the end of a profile by component, in milliseconds. Idle time is left out.
  *
- * @param text The file that Node wrote.
- * @param span Milliseconds before the end of the profile that count.
+ * @param text Contents of the profile that Node wrote.
+ * @param periodMs Length of the period at the end of the profile that is counted, in milliseconds.
  */
-export function summarizeProfile(text: string, span: number): ReadonlyMap<string, number> {
+export function summarizeProfile(text: string, periodMs: number): ReadonlyMap<string, number> {
 	const {nodes, samples, timeDeltas} = JSON.parse(text) as Profile;
-	const partOf = new Map(nodes.map(({id, callFrame}) => [id, findPart(callFrame)]));
-	const spans = new Map<string, number>();
+	const componentById = new Map(nodes.map(({id, callFrame}) => [id, findComponent(callFrame)]));
+	const msByComponent = new Map<string, number>();
 	const whole = timeDeltas.reduce((sum, delta) => sum + delta, 0) / 1000;
 	let at = 0;
 	for (const [index, sample] of samples.entries()) {
 		const delta = (timeDeltas[index] ?? 0) / 1000;
-		const part = partOf.get(sample);
+		const component = componentById.get(sample);
 		at += delta;
-		if (part !== undefined && at > whole - span) {
-			spans.set(part, (spans.get(part) ?? 0) + delta);
+		if (component !== undefined && at > whole - periodMs) {
+			msByComponent.set(component, (msByComponent.get(component) ?? 0) + delta);
 		}
 	}
 
-	return spans;
+	return msByComponent;
 }
 
-function findPart({functionName, url}: Profile['nodes'][number]['callFrame']): string | undefined {
+function findComponent({functionName, url}: Profile['nodes'][number]['callFrame']): string | undefined {
 	if (functionName === '(idle)' || functionName === '(root)') {
 		return undefined;
 	}
@@ -54,5 +54,5 @@
 		return 'garbage collection';
 	}
 
-	return parts.find(([, pattern]) => pattern.test(url))?.[0] ?? 'system calls and native code';
+	return components.find(([, pattern]) => pattern.test(url))?.[0] ?? 'system calls and native code';
 }
--- a/scenarios/apply-fault.ts
+++ b/scenarios/apply-fault.ts
@@ -1,11 +1,11 @@
 import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
-/** Applies the faults of a step: signals to processes, cuts and repairs of links, faults of the stand-ins. */
+/** Applies the faults of a step: signals to processes, cut or restored connections, and faults of the simulated platform and instances. */
 export async function applyFault(context: ScenarioContext, step: Step): Promise<void> {
 	sendSignals(context, step);
-	changeLinks(context, step);
-	await commandStandIns(context, step);
+	changeConnections(context, step);
+	await configureStandIns(context, step);
 }
 
 function sendSignals(context: ScenarioContext, step: Step): void {
@@ -22,7 +22,7 @@
 	}
 }
 
-function changeLinks(context: ScenarioContext, step: Step): void {
+function changeConnections(context: ScenarioContext, step: Step): void {
 	const {cluster} = context;
 	if (step.cut !== undefined) {
 		for (const from of step.cut.from) {
@@ -57,7 +57,7 @@
 	}
 }
 
-async function commandStandIns({cluster, transcript}: ScenarioContext, {platform, answers, restart}: Step): Promise<void> {
+async function configureStandIns({cluster, transcript}: ScenarioContext, {platform, answers, restart}: Step): Promise<void> {
 	if (restart !== undefined) {
 		transcript.add(`restart ${restart}`);
 		await cluster.child(restart).ended;
--- a/scenarios/check-answer.ts
+++ b/scenarios/check-answer.ts
@@ -7,11 +7,11 @@
 type Expectation = NonNullable<NonNullable<Scenario['steps'][number]['call']>['expect']>;
 
 /**
- * Checks an answer against what a scenario expects of it.
+ * Checks a response against the expectation of a scenario.
  *
- * @param response The answer.
- * @param options What is expected, and the milliseconds that the answer took.
- * @throws {AssertionError} When they differ.
+ * @param response Response to the call.
+ * @param options The expectation, and the time that the response took in milliseconds.
+ * @throws {AssertionError} If the response does not meet the expectation.
  */
 export function checkAnswer(
 	response: ExecuteResponse,
--- a/scenarios/check-outputs.ts
+++ b/scenarios/check-outputs.ts
@@ -4,7 +4,7 @@
 import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
-/** Checks what the processes have written and show, as a step says: that no key is in it, or the number of events. */
+/** Checks the output and the operator pages of all processes: that they contain no key, or how many events they contain. */
 export async function checkOutputs(context: ScenarioContext, step: Step): Promise<void> {
 	if (step.noKeyShown === true) {
 		await checkKeys(context);
@@ -27,7 +27,7 @@
 	}
 }
 
-/** Reads all that a host shows to operators; empty when it does not run. */
+/** Reads the metrics, events and configuration that a host shows to operators; empty if the host does not run. */
 async function readOperatorPages(cluster: Cluster, host: string): Promise<string> {
 	const headers = {authorization: `Bearer ${cluster.operatorToken}`};
 	try {
--- a/scenarios/check-tally.ts
+++ b/scenarios/check-tally.ts
@@ -9,43 +9,43 @@
 
 type Tally = NonNullable<Step['tally']>;
 
-/** Milliseconds within which the database can be counted again after a fault. */
-const countTimeout = 10_000;
+/** Longest time until the database can be read again after a fault, in milliseconds. */
+const countTimeoutMs = 10_000;
 
-/** Milliseconds that a repeat of an unknown write may take. */
-const repeatDeadline = 8000;
+/** Deadline of the retry of a write whose outcome is unknown, in milliseconds. */
+const repeatDeadlineMs = 8000;
 
-/** Milliseconds for which nothing of a refused write may turn up later. */
-const settleSpan = 500;
+/** Wait before rows are counted, in milliseconds, so that a refused write that takes effect late is found. */
+const lateWriteWaitMs = 500;
 
-const repeatDelay = 50;
+const retryDelayMs = 50;
 
-/** Rows that a write may leave, by its answer. */
-const allowed: Readonly<Record<WriteOutcome['answer'], readonly number[]>> = {
+/** Allowed numbers of rows of a write, by its answer. */
+const allowedRowCounts: Readonly<Record<WriteOutcome['answer'], readonly number[]>> = {
 	done: [1], notRun: [0], unknown: [0, 1],
 };
 
 /**
- * Counts what the writes of a step left in the database against their answers, settles the unknown ones by
- * their keys, and counts again.
+ * Compares the rows in the database with the answers to the writes of a step, retries the writes with an unknown outcome
+ * under their idempotency keys, and compares again.
  */
 export async function checkTally(context: ScenarioContext, tally: Tally): Promise<void> {
 	const started = context.writes.get(tally.name);
-	expect(started, `no writes named ${tally.name} run`).to.not.equal(undefined);
+	expect(started, `no writes named ${tally.name} were started`).to.not.equal(undefined);
 	const {writes, key} = await started!;
 	context.transcript.add(`tally ${tally.name}: ${describeTally(writes)}`);
-	await sleep(settleSpan);
+	await sleep(lateWriteWaitMs);
 	checkRows(writes, await countRows(context, {tally, key}));
 	const failed = writes.filter(({answer}) => answer !== 'done');
-	expect(writes.length - failed.length, `writes done beside ${JSON.stringify(failed)}`).to.be.at.least(tally.done);
-	expect(failed.length, 'writes that the fault met').to.be.at.least(tally.failed);
+	expect(writes.length - failed.length, `number of writes done; the others: ${JSON.stringify(failed)}`).to.be.at.least(tally.done);
+	expect(failed.length, 'number of writes that failed').to.be.at.least(tally.failed);
 
 	const settled = await Promise.all(writes.map(async write => write.answer === 'unknown'
 		? sendWrite(context, {
-			id: write.id, host: tally.host, key, deadline: repeatDeadline,
+			id: write.id, host: tally.host, key, deadline: repeatDeadlineMs,
 		})
 		: write));
-	expect(settled.filter(({answer}) => answer === 'unknown'), 'writes that a repeat did not settle').to.deep.equal([]);
+	expect(settled.filter(({answer}) => answer === 'unknown'), 'writes that are still unknown after a retry').to.deep.equal([]);
 	checkRows(settled, await countRows(context, {tally, key}));
 }
 
@@ -58,18 +58,18 @@
 function checkRows(writes: readonly WriteOutcome[], rows: ReadonlyMap<string, number>): void {
 	const wrong = writes
 		.map(write => ({...write, rows: rows.get(write.id) ?? 0}))
-		.filter(({answer, rows}) => !allowed[answer].includes(rows));
-	expect(wrong, 'writes whose answer is not true').to.deep.equal([]);
+		.filter(({answer, rows}) => !allowedRowCounts[answer].includes(rows));
+	expect(wrong, 'writes whose answer does not match their number of rows').to.deep.equal([]);
 }
 
-/** Counts the rows of each write in the latest state; repeats until the database can be read. */
+/** Counts the rows of each write in the latest state; retries until the database can be read. */
 async function countRows(
 	{cluster, scenario}: ScenarioContext,
 	{tally, key}: {readonly tally: Tally; readonly key: string},
 ): Promise<ReadonlyMap<string, number>> {
-	const deadline = performance.now() + countTimeout;
+	const deadline = performance.now() + countTimeoutMs;
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- attempts follow each other
+		// eslint-disable-next-line no-await-in-loop -- attempts run one after the other
 		const response = await cluster.caller(tally.host, key).execute({
 			database: scenario.cluster.databases[0] ?? '',
 			statements: [createStatement('SELECT id, count(*) FROM entry GROUP BY id')],
@@ -79,7 +79,7 @@
 			return new Map(listRows(response).map(([id, count]) => [String(id), Number(count)]));
 		}
 
-		expect(performance.now(), 'the database could not be read').to.be.below(deadline);
-		await sleep(repeatDelay); // eslint-disable-line no-await-in-loop
+		expect(performance.now(), `database not readable for ${countTimeoutMs} ms`).to.be.below(deadline);
+		await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 	}
 }
--- a/scenarios/create-change.ts
+++ b/scenarios/create-change.ts
@@ -6,7 +6,7 @@
 } from '@sapphirefall/wire';
 import type {Step} from './step.ts';
 
-/** Creates the operator's change that a step names. */
+/** Creates the configuration change that a step describes. */
 export function createChange(change: NonNullable<Step['change']>): ChangeRequest['change'] {
 	if (change.workspace !== undefined) {
 		const {name: workspace, rate, burst, databases} = change.workspace;
--- a/scenarios/create-transcript.ts
+++ b/scenarios/create-transcript.ts
@@ -1,6 +1,6 @@
 import type {Transcript} from './transcript.ts';
 
-/** Creates an empty record of a session. */
+/** Creates an empty transcript. */
 export function createTranscript(): Transcript {
 	const lines: string[] = [];
 	return {
--- a/scenarios/format-answer.ts
+++ b/scenarios/format-answer.ts
@@ -1,6 +1,9 @@
 import {decodeResult, type ExecuteResponse} from '@sapphirefall/wire';
 
-/** Formats an answer for a golden file; the session token, the time and the instance, which depends on it, are left out. */
+/**
+ * Formats an answer for a golden file. Leaves out what differs between runs: the session token, the time, and the instance,
+ * whose choice depends on the time.
+ */
 export function formatAnswer({answer}: ExecuteResponse): string {
 	switch (answer.case) {
 		case 'done': {
--- a/scenarios/run-scenario.ts
+++ b/scenarios/run-scenario.ts
@@ -24,18 +24,18 @@
 type Call = NonNullable<Step['call']>;
 type Change = NonNullable<Step['change']>;
 
-/** Milliseconds within which the first writes of a step are done. */
-const startTimeout = 5000;
+/** Longest time until the first `after` writes of a step are done, in milliseconds. */
+const firstWritesTimeoutMs = 5000;
 
-/** Milliseconds between two attempts of a step that repeats. */
-const repeatDelay = 20;
+/** Delay between two attempts of a step that is retried, in milliseconds. */
+const retryDelayMs = 20;
 
 /**
  * Runs a scenario against a cluster of its own.
  *
- * @param scenario The scenario.
- * @param transcript Takes the record of the session.
- * @throws {Error} When a step does not give what is expected; the message names the step.
+ * @param scenario Scenario to run.
+ * @param transcript Transcript to which the steps and their results are added.
+ * @throws {Error} If a step does not meet its expectation; the message contains the step.
  */
 export async function runScenario(scenario: Scenario, transcript: Transcript): Promise<void> {
 	const cluster = await startCluster(scenario.cluster);
@@ -44,7 +44,7 @@
 	};
 	try {
 		for (const [index, step] of scenario.steps.entries()) {
-			await runNamedStep(context, {step, index}); // eslint-disable-line no-await-in-loop -- steps follow each other
+			await runNamedStep(context, {step, index}); // eslint-disable-line no-await-in-loop -- steps run one after the other
 		}
 	} finally {
 		for (const stream of context.streams.values()) {
@@ -64,7 +64,7 @@
 }
 
 async function runStep(context: ScenarioContext, step: Step): Promise<void> {
-	await runCallStep(context, step);
+	await runRequests(context, step);
 	await applyFault(context, step);
 	if (step.loseAcceptors === true) {
 		await loseAcceptors(context);
@@ -84,7 +84,7 @@
 	expect(done).to.be.within(burst.done.least, burst.done.most);
 }
 
-async function runCallStep(context: ScenarioContext, step: Step): Promise<void> {
+async function runRequests(context: ScenarioContext, step: Step): Promise<void> {
 	const {
 		call, change, join, burst, writes, tally,
 	} = step;
@@ -113,7 +113,7 @@
 	}
 }
 
-/** Starts the writes of a step, and waits until so many are done that a fault comes in their midst. */
+/** Starts the writes of a step and waits until `after` of them are done, so that the next step's fault occurs while the rest run. */
 async function startWrites(context: ScenarioContext, writes: NonNullable<Step['writes']>): Promise<void> {
 	let done = 0;
 	const onDone = () => {
@@ -123,10 +123,10 @@
 	const run = async () => ({key: writes.key, writes: await sendWrites(context, {writes, onDone})});
 	context.writes.set(writes.name, run());
 	context.transcript.add(`start ${writes.count} writes ${writes.name}`);
-	const deadline = performance.now() + startTimeout;
+	const deadline = performance.now() + firstWritesTimeoutMs;
 	while (done < writes.after) {
-		expect(performance.now(), `only ${done} writes ${writes.name} are done`).to.be.below(deadline);
-		await sleep(1); // eslint-disable-line no-await-in-loop -- the fault must not come late
+		expect(performance.now(), `only ${done} of the first ${writes.after} writes ${writes.name} are done`).to.be.below(deadline);
+		await sleep(1); // eslint-disable-line no-await-in-loop -- the fault must occur while writes run
 	}
 }
 
@@ -145,7 +145,7 @@
 		expect(code).to.equal(join.code ?? 0);
 	}
 
-	expect(call ?? changed, `nothing named ${join.name} runs`).to.not.equal(undefined);
+	expect(call ?? changed, `no call or change named ${join.name} was started`).to.not.equal(undefined);
 }
 
 async function runCall(context: ScenarioContext, call: Call): Promise<void> {
@@ -164,7 +164,7 @@
 	}
 }
 
-/** Sends a call until its answer is as expected or the time is over; then the difference is thrown. */
+/** Sends a call until its answer meets the expectation. Throws the assertion error of the last attempt once the deadline has passed. */
 async function sendUntil(context: ScenarioContext, {call, deadline}: {readonly call: Call; readonly deadline: number}): Promise<TimedResponse> {
 	for (;;) {
 		const answered = await sendCall(context, call); // eslint-disable-line no-await-in-loop
@@ -177,7 +177,7 @@
 			}
 		}
 
-		await sleep(repeatDelay); // eslint-disable-line no-await-in-loop
+		await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 }
 
-/** Repeats a change until it has the expected code or the time is over. */
+/** Retries a change until it gets the expected code or `until` milliseconds have passed. */
 async function repeatChange(
 	context: ScenarioContext,
 	{change, first}: {readonly change: Change; readonly first: ChangeResponse},
@@ -210,7 +210,7 @@
 	const deadline = performance.now() + change.until;
 	let response = first;
 	while (response.code !== change.code && performance.now() < deadline) {
-		await sleep(repeatDelay); // eslint-disable-line no-await-in-loop -- attempts follow each other
+		await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop -- attempts run one after the other
 		response = await sendChange(context, change); // eslint-disable-line no-await-in-loop
 	}
 
--- a/scenarios/run-scenarios.test.ts
+++ b/scenarios/run-scenarios.test.ts
@@ -35,6 +35,6 @@
 		writeFileSync(file, text);
 	}
 
-	expect(existsSync(file), `${file} is missing; UPDATE_GOLDEN=1 writes it`).to.equal(true);
+	expect(existsSync(file), `${file} is missing; run with UPDATE_GOLDEN=1 to create it`).to.equal(true);
 	expect(text).to.equal(readFileSync(file, 'utf8'));
 }
--- a/scenarios/scenario-context.ts
+++ b/scenarios/scenario-context.ts
@@ -6,17 +6,21 @@
 import type {WriteOutcome} from './write-outcome.ts';
 import type {Transcript} from './transcript.ts';
 
-/** What the steps of a scenario share. */
+/** State that the steps of a scenario share. */
 export type ScenarioContext = {
 	readonly cluster: Cluster;
 	readonly transcript: Transcript;
+	/** Session tokens, by the session's name. */
 	readonly sessions: Map<string, string>;
-	/** Open streams of callers, by host and key. */
+	/** Open streams of callers, by `HOST KEY`. */
 	readonly streams: Map<string, CallerStream>;
+	/** Calls that run in the background, by name. */
 	readonly calls: Map<string, Promise<TimedResponse>>;
+	/** Configuration changes that run in the background, by name. */
 	readonly changes: Map<string, Promise<ChangeResponse>>;
-	/** Writes that run or ran, by the step's name, and the key that they show. */
+	/** Running and finished writes by the name of their step, with the key that they are sent with. */
 	readonly writes: Map<string, Promise<{readonly key: string; readonly writes: readonly WriteOutcome[]}>>;
+	/** Keys that changes have added so far. */
 	readonly keys: Set<string>;
 	/** Hosts that a `loseAcceptors` step has killed. */
 	readonly killedHosts: Set<string>;
--- a/scenarios/scenario-schema.ts
+++ b/scenarios/scenario-schema.ts
@@ -4,15 +4,15 @@
 const statement = z.union([z.string(), z.strictObject({sql: z.string(), parameters: z.array(scalar).default([])})]);
 
 const expectation = z.strictObject({
-	/** Which of the three answers; a list allows any of several. */
+	/** Expected answer: `done`, `notRun` or `unknown`; a list allows any of its members. */
 	answer: z.union([z.string(), z.array(z.string())]).optional(),
 	code: z.union([z.number(), z.array(z.number())]).optional(),
-	/** Rows of the first statement that returns some. */
+	/** Rows of the first statement that returns rows. */
 	rows: z.array(z.array(scalar)).optional(),
 	instance: z.string().optional(),
 	notInstance: z.string().optional(),
 	replayed: z.boolean().optional(),
-	/** Greatest milliseconds to the answer. */
+	/** Longest time to the answer, in milliseconds. */
 	within: z.number().optional(),
 });
 
@@ -27,19 +27,19 @@
 	idempotencyKey: z.string().optional(),
 	repeatable: z.boolean().optional(),
 	statements: z.array(statement).default([]),
-	/** Sends the call on a stream to the host that is opened by the first such call and stays open. */
+	/** Sends the call on a stream to the host, which the first such call opens and which stays open. */
 	stream: z.boolean().default(false),
-	/** Name of the session whose token the call shows, and which takes the new one. */
+	/** Name of the session whose token the call sends, and which stores the token of the answer. */
 	session: z.string().optional(),
-	/** Token to show in place of the session's. */
+	/** Token to send in place of the session's. */
 	token: z.string().optional(),
 	deadline: z.number().optional(),
 	expect: expectation.optional(),
-	/** Goes on without waiting; `join` waits for the answer. */
+	/** Name under which the call runs in the background; `join` waits for its answer. */
 	background: z.string().optional(),
-	/** Repeats the call until the expectation holds, for so many milliseconds. */
+	/** Retries the call for up to this many milliseconds until its answer meets the expectation. */
 	until: z.number().optional(),
-	/** Repeats the call so many times; each answer must meet the expectation. */
+	/** Number of times to make the call; each answer must meet the expectation. */
 	times: z.number().default(1),
 });
 
@@ -59,16 +59,16 @@
 	}).optional(),
 	basedOn: z.number().optional(),
 	code: z.number().default(0),
-	/** Text that the reason must hold. */
+	/** Text that the reason must contain. */
 	reason: z.string().optional(),
-	/** Repeats the change until it has the code, for so many milliseconds. */
+	/** Retries the change for up to this many milliseconds until it gets the code. */
 	until: z.number().default(0),
 	background: z.string().optional(),
 });
 
 const step = z.strictObject({
 	call: call.optional(),
-	/** Sends calls to all hosts in turn at once, and counts those that are done. */
+	/** Sends `count` reads at once, spread over all hosts, and checks how many are done. */
 	burst: z.strictObject({
 		key: z.string(),
 		read: z.string(),
@@ -76,7 +76,7 @@
 		count: z.number(),
 		done: z.strictObject({least: z.number(), most: z.number()}),
 	}).optional(),
-	/** Begins writes with keys of their own through hosts in turn, one each `every` ms; goes on when `after` are done. */
+	/** Starts writes with an idempotency key each, one every `every` ms, through the hosts in turn; the next step runs once `after` are done. */
 	writes: z.strictObject({
 		name: z.string(),
 		key: z.string(),
@@ -86,14 +86,14 @@
 		after: z.number().default(0),
 		deadline: z.number(),
 	}).optional(),
-	/** Waits for the writes, counts what each left in the database, repeats the unknown ones and counts again. */
+	/** Waits for the writes, compares their rows in the database with their answers, retries the unknown ones and compares again. */
 	tally: z.strictObject({
 		name: z.string(),
-		/** Host that counts and repeats. */
+		/** Host that receives the counting reads and the retries. */
 		host: z.string(),
-		/** Least writes that are done. */
+		/** Smallest number of writes that are done. */
 		done: z.number(),
-		/** Least writes that the fault kept from being done. */
+		/** Smallest number of writes that are not done because of the fault. */
 		failed: z.number().default(0),
 	}).optional(),
 	change: change.optional(),
@@ -103,30 +103,30 @@
 	thaw: z.string().optional(),
 	terminate: z.string().optional(),
 	restart: z.string().optional(),
-	/** Cuts the links from some zones to some processes. */
+	/** Cuts the connections from some zones to some processes. */
 	cut: z.strictObject({from: z.array(z.string()), to: z.array(z.string())}).optional(),
-	/** Cuts a zone from the processes of all others, and theirs from it. */
+	/** Isolates a zone from the processes of all other zones, in both directions. */
 	partition: z.strictObject({zone: z.string(), platform: z.boolean().default(false)}).optional(),
 	heal: z.literal(true).optional(),
-	/** Closes the connections that are open; new ones work. */
+	/** Closes the open connections; new ones work. */
 	reset: z.strictObject({from: z.string(), to: z.string()}).optional(),
-	/** Silences the connections that are open for good; new ones work. */
+	/** Stops the open connections from delivering data for good; new ones work. */
 	mute: z.strictObject({from: z.string(), to: z.string()}).optional(),
 	platform: z.strictObject({
 		down: z.boolean().default(false),
 		delay: z.number().default(0),
 		lostAnswers: z.number().default(0),
 		departing: z.array(z.string()).default([]),
-		/** Hosts that the list leaves out. */
+		/** Hosts that the platform's list omits. */
 		unlisted: z.array(z.string()).default([]),
 	}).optional(),
 	answers: z.strictObject({
 		instance: z.string(), delay: z.number().default(0), dropped: z.number().default(0), skipped: z.number().default(0), strays: z.boolean().default(false),
 	}).optional(),
-	/** Kills all hosts through which changes enter, and takes them off the platform's list. */
+	/** Kills all acceptors (hosts that accept configuration changes) and removes them from the platform's list. */
 	loseAcceptors: z.literal(true).optional(),
 	wait: z.number().optional(),
-	/** Waits until hosts know a primary or a configuration version. */
+	/** Waits until hosts report a primary or a configuration version. */
 	waitFor: z.strictObject({
 		hosts: z.array(z.string()).optional(),
 		database: z.string().optional(),
@@ -135,20 +135,20 @@
 		version: z.number().optional(),
 		within: z.number(),
 	}).optional(),
-	/** The process ends with the code. */
+	/** Waits until the process exits, and checks its exit code. */
 	exit: z.strictObject({process: z.string(), code: z.number(), within: z.number()}).optional(),
-	/** No process has written any of the keys given so far. */
+	/** Checks that no process has written any of the keys that were added so far. */
 	noKeyShown: z.literal(true).optional(),
-	/** Counts the events of a kind over all processes. */
+	/** Checks how many events of a kind all processes together have written. */
 	events: z.strictObject({
 		kind: z.string(), detail: z.string().optional(), least: z.number().optional(), most: z.number().optional(),
 	}).optional(),
 });
 
-/** The schema of a scenario file, the small test language of docs/SCENARIOS.md. */
+/** Schema of a scenario file, whose language docs/SCENARIOS.md describes. */
 export const scenarioSchema = z.strictObject({
 	title: z.string(),
-	/** Line of the brief's "What must always hold" that the scenario proves. */
+	/** Guarantee that the scenario tests, quoted from the section "What must always hold" of the project's requirements. */
 	proves: z.string(),
 	cluster: z.strictObject({
 		zones: z.array(z.string()).default(['a', 'b', 'c']),
@@ -161,7 +161,7 @@
 		endpoint: z.record(z.string(), z.unknown()).default({}),
 		seed: z.number().default(1),
 	}).prefault({}),
-	/** Whether the whole session is compared with a golden file. */
+	/** Whether the transcript of the run is compared with a golden file. */
 	golden: z.boolean().default(false),
 	steps: z.array(step),
 });
--- a/scenarios/send-call.ts
+++ b/scenarios/send-call.ts
@@ -7,7 +7,7 @@
 
 type Call = NonNullable<Step['call']>;
 
-/** Sends a caller's request once, and keeps the session token that comes back. */
+/** Sends a caller's request once and stores the session token of the answer. */
 export async function sendCall(context: ScenarioContext, call: Call): Promise<TimedResponse> {
 	const sentAt = performance.now();
 	const response = await findCaller(context, call).execute({
@@ -28,7 +28,7 @@
 	return {response, elapsedMs: performance.now() - sentAt};
 }
 
-/** Finds the open stream of a call that uses one, and else a client. */
+/** Returns the stream to send a call on, opened if needed, or a client for unary calls. */
 function findCaller(context: ScenarioContext, {host: name, key = '', stream}: Call): Pick<CallerStream, 'execute'> {
 	const {cluster, streams} = context;
 	const host = findHost(context, name);
--- a/scenarios/send-write.ts
+++ b/scenarios/send-write.ts
@@ -3,18 +3,18 @@
 import type {WriteOutcome} from './write-outcome.ts';
 
 type Options = {
-	/** The row that the write inserts, and its idempotency key. */
+	/** Value of the row that the write inserts, and idempotency key of the write. */
 	readonly id: string;
 	readonly host: string;
 	readonly key: string;
-	/** Milliseconds that the request may take. */
+	/** Deadline of the request, in milliseconds. */
 	readonly deadline: number;
 };
 
-/** Milliseconds above a request's deadline after which its caller gives up. */
-const patience = 1500;
+/** Time past a request's deadline after which its caller gives up, in milliseconds. */
+const callerMarginMs = 1500;
 
-/** Sends a write that inserts one row of the table `entry`; a call that is cut or silent counts as unknown. */
+/** Sends a write that inserts one row into the table `entry`; a call that fails or times out counts as unknown. */
 export async function sendWrite(
 	{cluster, scenario}: ScenarioContext,
 	{
@@ -30,7 +30,7 @@
 			statements: [createStatement('INSERT INTO entry VALUES (?)', [id])],
 			kind: {case: 'write', value: {idempotencyKey: id, repeatable: false}},
 			deadlineMs: deadline,
-		}, {timeoutMs: deadline + patience});
+		}, {timeoutMs: deadline + callerMarginMs});
 		const reason = response.answer.case === 'done' ? '' : response.answer.value?.reason ?? '';
 		return {id, answer: response.answer.case ?? 'unknown', detail: describe(reason)};
 	} catch (error) {
--- a/scenarios/send-writes.ts
+++ b/scenarios/send-writes.ts
@@ -4,7 +4,7 @@
 import type {Step} from './step.ts';
 import type {WriteOutcome} from './write-outcome.ts';
 
-/** Sends the writes of a step through hosts in turn, one after the other in time without waiting for answers. */
+/** Sends the writes of a step through the hosts in turn, one every `every` milliseconds, without waiting for answers. */
 export async function sendWrites(
 	context: ScenarioContext,
 	{writes, onDone}: {readonly writes: NonNullable<Step['writes']>; readonly onDone: () => void},
--- a/scenarios/timed-response.ts
+++ b/scenarios/timed-response.ts
@@ -1,4 +1,4 @@
 import type {ExecuteResponse} from '@sapphirefall/wire';
 
-/** An answer and the milliseconds that it took. */
+/** Response to a caller's request, with the time that it took in milliseconds. */
 export type TimedResponse = {readonly response: ExecuteResponse; readonly elapsedMs: number};
--- a/scenarios/wait-for.ts
+++ b/scenarios/wait-for.ts
@@ -4,10 +4,10 @@
 import type {ScenarioContext} from './scenario-context.ts';
 import type {Step} from './step.ts';
 
-/** Milliseconds between two looks at what hosts know. */
-const repeatDelay = 20;
+/** Interval between two reads of a host's status, in milliseconds. */
+const pollIntervalMs = 20;
 
-/** Waits as a step says: for a time, for what hosts know, or for the end of a process. */
+/** Waits as a step says: for a time, for the status of hosts, or for the exit of a process. */
 export async function waitFor(context: ScenarioContext, {wait, waitFor: wanted, exit}: Step): Promise<void> {
 	if (wait !== undefined) {
 		await sleep(wait);
@@ -29,22 +29,22 @@
 	const database = wanted.database ?? scenario.cluster.databases[0];
 	for (const host of wanted.hosts ?? cluster.hosts) {
 		for (;;) {
-			const known = await readKnown(cluster, {host, database: database ?? ''}); // eslint-disable-line no-await-in-loop
-			const isKnown = (wanted.primary === undefined || known.primary === wanted.primary)
+			const known = await readHostStatus(cluster, {host, database: database ?? ''}); // eslint-disable-line no-await-in-loop
+			const isReached = (wanted.primary === undefined || known.primary === wanted.primary)
 				&& (wanted.notPrimary === undefined || known.primary !== wanted.notPrimary)
 				&& (wanted.version === undefined || known.version >= wanted.version);
-			if (isKnown) {
+			if (isReached) {
 				break;
 			}
 
-			expect(performance.now(), `${host} knows primary ${known.primary} and version ${known.version}`).to.be.below(deadline);
-			await sleep(repeatDelay); // eslint-disable-line no-await-in-loop
+			expect(performance.now(), `${host} reports primary ${known.primary} and version ${known.version}`).to.be.below(deadline);
+			await sleep(pollIntervalMs); // eslint-disable-line no-await-in-loop
 		}
 	}
 }
 
-/** Reads what a host knows; a host that does not answer yet knows nothing. */
-async function readKnown(
+/** Reads the primary and the configuration version that a host reports; '' and -1 if the host does not answer yet. */
+async function readHostStatus(
 	cluster: Cluster,
 	{host, database}: {readonly host: string; readonly database: string},
 ): Promise<{readonly primary: string; readonly version: number}> {
--- a/scenarios/write-outcome.ts
+++ b/scenarios/write-outcome.ts
@@ -1,7 +1,7 @@
-/** A write of a `writes` step, and which of the three answers its caller got; a cut call counts as unknown. */
+/** Outcome of a write of a `writes` step: the answer that its caller got; a call without an answer counts as unknown. */
 export type WriteOutcome = {
 	readonly id: string;
 	readonly answer: 'done' | 'notRun' | 'unknown';
-	/** Milliseconds to the answer, and the reason when it is not done. */
+	/** Host, time to the answer in milliseconds, and the reason if the write is not done. */
 	readonly detail: string;
 };
--- a/xo.config.js
+++ b/xo.config.js
@@ -1,7 +1,7 @@
 /** @type {import('xo').FlatXoConfig} */
 const config = [
 	{
-		// Generated and built code, and this file, which belongs to no TypeScript project.
+		// Generated and built code, and JavaScript files that belong to no TypeScript project.
 		ignores: ['packages/wire/gen/**', 'out/**', 'bin/**', 'xo.config.js'],
 	},
 	{
