--- a/bench/measure-failover.ts
+++ b/bench/measure-failover.ts
@@ -184,5 +184,5 @@
 		await sleep(50); // eslint-disable-line no-await-in-loop
 	}
 
-	throw new Error(`database group has no primary with two replicas of its term after ${recoveryTimeoutMs} ms`);
+	throw new Error('database group did not get a primary and two replicas in one term before the time-out');
 }
--- a/scenarios/check-tally.ts
+++ b/scenarios/check-tally.ts
@@ -79,7 +79,7 @@
 			return new Map(listRows(response).map(([id, count]) => [String(id), Number(count)]));
 		}
 
-		expect(performance.now(), `database not readable for ${countTimeoutMs} ms`).to.be.below(deadline);
+		expect(performance.now(), 'database not readable before the time-out').to.be.below(deadline);
 		await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop
 	}
 }
--- a/scenarios/run-scenario.ts
+++ b/scenarios/run-scenario.ts
@@ -125,7 +125,7 @@
 	context.transcript.add(`start ${writes.count} writes ${writes.name}`);
 	const deadline = performance.now() + firstWritesTimeoutMs;
 	while (done < writes.after) {
-		expect(performance.now(), `only ${done} of the first ${writes.after} writes ${writes.name} are done`).to.be.below(deadline);
+		expect(performance.now(), `only ${done} writes ${writes.name} are done before the time-out`).to.be.below(deadline);
 		await sleep(1); // eslint-disable-line no-await-in-loop -- the fault must occur while writes run
 	}
 }
