--- a/scenarios/check-answer.ts
+++ b/scenarios/check-answer.ts
@@ -15,9 +15,9 @@
  */
 export function checkAnswer(
 	response: ExecuteResponse,
-	options: {readonly expected: Expectation; readonly elapsed: number},
+	options: {readonly expected: Expectation; readonly elapsedMs: number},
 ): void {
-	const {expected, elapsed} = options;
+	const {expected, elapsedMs} = options;
 	const {answer} = response;
 	const shown = JSON.stringify(answer.value, (_, value: unknown) => typeof value === 'bigint' ? value.toString() : value);
 	if (expected.answer !== undefined) {
@@ -46,6 +46,6 @@
 	}
 
 	if (expected.within !== undefined) {
-		expect(elapsed, shown).to.be.at.most(expected.within);
+		expect(elapsedMs, shown).to.be.at.most(expected.within);
 	}
 }
--- a/scenarios/run-scenario.ts
+++ b/scenarios/run-scenario.ts
@@ -135,7 +135,7 @@
 	if (call !== undefined) {
 		const answered = await call;
 		context.transcript.add(`join ${join.name}: ${formatAnswer(answered.response)}`);
-		checkAnswer(answered.response, {expected: join.expect ?? {}, elapsed: answered.elapsedMs});
+		checkAnswer(answered.response, {expected: join.expect ?? {}, elapsedMs: answered.elapsedMs});
 	}
 
 	const changed = context.changes.get(join.name);
@@ -169,7 +169,7 @@
 	for (;;) {
 		const answered = await sendCall(context, call); // eslint-disable-line no-await-in-loop
 		try {
-			checkAnswer(answered.response, {expected: call.expect ?? {}, elapsed: answered.elapsedMs});
+			checkAnswer(answered.response, {expected: call.expect ?? {}, elapsedMs: answered.elapsedMs});
 			return answered;
 		} catch (error) {
 			if (performance.now() >= deadline) {
