--- a/scenarios/check-answer.ts
+++ b/scenarios/check-answer.ts
@@ -7,17 +7,17 @@
 type Expectation = NonNullable<NonNullable<Scenario['steps'][number]['call']>['expect']>;
 
 /**
- * Checks an answer against what a scenario expects of it.
+ * Checks a response against the expectation of a scenario.
  *
- * @param response The answer.
- * @param options What is expected, and the milliseconds that the answer took.
- * @throws {AssertionError} When they differ.
+ * @param response Response to the call.
+ * @param options The expectation, and the time that the response took in milliseconds.
+ * @throws {AssertionError} If the response does not meet the expectation.
  */
 export function checkAnswer(
 	response: ExecuteResponse,
-	options: {readonly expected: Expectation; readonly elapsed: number},
+	options: {readonly expected: Expectation; readonly elapsedMs: number},
 ): void {
-	const {expected, elapsed} = options;
+	const {expected, elapsedMs} = options;
 	const {answer} = response;
 	const shown = JSON.stringify(answer.value, (_, value: unknown) => typeof value === 'bigint' ? value.toString() : value);
 	if (expected.answer !== undefined) {
@@ -46,6 +46,6 @@
 	}
 
 	if (expected.within !== undefined) {
-		expect(elapsed, shown).to.be.at.most(expected.within);
+		expect(elapsedMs, shown).to.be.at.most(expected.within);
 	}
 }
