--- a/packages/callers/create-session-codec.ts
+++ b/packages/callers/create-session-codec.ts
@@ -23,8 +23,8 @@
 		decode(token) {
 			const [body = '', signature = ''] = token.split('.');
 			const expected = sign(body);
-			const given = Buffer.from(signature, 'base64url');
-			if (given.length !== expected.length || !timingSafeEqual(given, expected)) {
+			const received = Buffer.from(signature, 'base64url');
+			if (received.length !== expected.length || !timingSafeEqual(received, expected)) {
 				return undefined;
 			}
 
--- a/packages/callers/mod.ts
+++ b/packages/callers/mod.ts
@@ -1,4 +1,4 @@
-/** Callers as a peer: requests in, answers out. */
+/** Server side of the caller protocol: decodes requests, encodes answers, and signs session tokens. */
 export * from './create-caller-handler.ts';
 export * from './create-session-codec.ts';
 export * from './decode-request.ts';
--- a/packages/decisions/answer.ts
+++ b/packages/decisions/answer.ts
@@ -12,7 +12,7 @@
 	| {
 		readonly kind: 'done';
 		readonly results: readonly SqlResult[];
-		/** Log position that an instance must have applied to serve later reads of the session. */
+		/** Log point that an instance must have applied to serve later reads of the session. */
 		readonly point: LogPoint | undefined;
 		/** Whether the results come from the idempotency record of an earlier attempt. */
 		readonly isReplayed: boolean;
--- a/packages/decisions/choose-loan-size.ts
+++ b/packages/decisions/choose-loan-size.ts
@@ -7,7 +7,7 @@
  * Units that one host holds unused are unavailable to the other hosts, which matters more the fewer units remain.
  *
  * @param level Units available.
- * @param asked The units without which the loan is of no use, and the units that the borrower would like.
+ * @param request The units without which the loan is of no use, and the units that the borrower would like.
  */
 export function chooseLoanSize(
 	level: number,
--- a/packages/decisions/is-covered.ts
+++ b/packages/decisions/is-covered.ts
@@ -1,7 +1,7 @@
 import type {LogPoint} from './log-point.ts';
 
 /**
- * Tells whether a log that ends at `end` contains the acknowledged entry at `point`.
+ * Returns whether a log that ends at `end` contains the acknowledged entry at `point`.
  *
  * Every later primary has an acknowledged entry in its log, and a log equals that of the primary that wrote its
  * last entry. It therefore suffices that neither term nor position of the last entry is lower than that of `point`.
--- a/packages/decisions/mod.ts
+++ b/packages/decisions/mod.ts
@@ -1,4 +1,4 @@
-/** Pure decisions: a state, an event and the present time in, a new state and effects out. */
+/** Pure functions that decide: they take a state, an event and the present time, and return the new state and the effects. */
 export type * from './acceptor-confirmation.ts';
 export * from './add-item.ts';
 export * from './add-loan.ts';
--- a/packages/decisions/step-tick.ts
+++ b/packages/decisions/step-tick.ts
@@ -95,7 +95,7 @@
 	};
 }
 
-/** Tells whether this host is one of those that read the configuration's version for its zone. */
+/** Returns whether this host is one of those that read the configuration's version for its zone. */
 function isVersionReader(state: HostState): boolean {
 	const zoneHosts = listLiveHosts(state.membership).filter(({zone}) => zone === state.zone).map(({id}) => id);
 	return rankHosts(`configuration/${state.zone}`, zoneHosts)
--- a/packages/endpoints/batch-outcome.ts
+++ b/packages/endpoints/batch-outcome.ts
@@ -3,7 +3,7 @@
 /**
  * Outcome of a batch.
  *
- * - `ran`: the results, and the log position that the batch read at or committed at.
+ * - `ran`: the results, and the log point that the batch read at or committed at.
  * - `refused`: the instance did not run the batch and rolled its transaction back.
  * - `lost`: no answer arrived, and the connection is closed. The batch may have run.
  */
--- a/packages/endpoints/create-connection-pool.ts
+++ b/packages/endpoints/create-connection-pool.ts
@@ -11,7 +11,7 @@
 	readonly size: number;
 	/** Milliseconds to wait before a closed connection is replaced or a failed attempt is repeated. */
 	readonly retryDelayMs: number;
-	/** Returns the present time in monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/endpoints/open-connection.ts
+++ b/packages/endpoints/open-connection.ts
@@ -14,7 +14,7 @@
 	readonly heartbeatInterval: number;
 	/** Milliseconds without any answer after which the connection is closed. */
 	readonly silenceLimit: number;
-	/** Returns the present time in monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 	/** Called once when the connection is closed, by either side. */
 	readonly onClosed: () => void;
--- a/packages/endpoints/open-prober.ts
+++ b/packages/endpoints/open-prober.ts
@@ -10,7 +10,7 @@
 type Options = {
 	/** Milliseconds that a probe may stay unanswered before the stream is replaced. */
 	readonly timeoutMs: number;
-	/** Returns the present time in monotonic milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 	/** Called with each report and the time at which its probe was sent, in monotonic milliseconds. */
 	readonly onReport: (report: InstanceReport, sentAt: number) => void;
--- a/packages/hosts/call-options.ts
+++ b/packages/hosts/call-options.ts
@@ -10,7 +10,7 @@
 	readonly encodePing: (id: number) => Uint8Array;
 	/** Milliseconds without data in either direction after which a connection without open calls is closed. */
 	readonly idleTimeoutMs: number;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 	/** Called with the reason when the other host violates the protocol; the connection is closed then. */
 	readonly onProtocolError: (reason: string) => void;
--- a/packages/hosts/create-fleet-peer.ts
+++ b/packages/hosts/create-fleet-peer.ts
@@ -17,7 +17,7 @@
 	readonly timeoutMs: number;
 	/** Milliseconds without data after which the connection is closed. */
 	readonly idleTimeoutMs: number;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 	readonly log: SessionLog;
 };
--- a/packages/hosts/create-forwarder.ts
+++ b/packages/hosts/create-forwarder.ts
@@ -17,7 +17,7 @@
 	readonly idleSpan: number;
 	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/hosts/create-peer.ts
+++ b/packages/hosts/create-peer.ts
@@ -21,7 +21,7 @@
 	readonly idleSpan: number;
 	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
@@ -29,7 +29,7 @@
 type Kind = NonNullable<Call['case']>;
 type AnswerValue<K extends Kind> = Extract<ControlResponse['answer'], {readonly case: K}>['value'];
 
-/** Timeout in milliseconds of passing on an operator's change, which the acceptor has to commit before it answers. */
+/** Timeout in milliseconds of forwarding an operator's change, which the acceptor has to commit before it answers. */
 const changeTimeoutMs = 4000;
 
 /**
--- a/packages/hosts/execute-forward.ts
+++ b/packages/hosts/execute-forward.ts
@@ -12,7 +12,7 @@
 	readonly execute: (request: AdmittedRequest) => Promise<Answer>;
 	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/hosts/mod.ts
+++ b/packages/hosts/mod.ts
@@ -1,4 +1,4 @@
-/** Other entry hosts as a peer: exchange, confirmation and forwarding. */
+/** Calls between hosts, client and server: exchanges, loans, confirmations, forwarded requests and session calls. */
 export type * from './bucket-handover.ts';
 export * from './create-fleet-peer.ts';
 export * from './create-forwarder.ts';
--- a/packages/hosts/peer.ts
+++ b/packages/hosts/peer.ts
@@ -11,11 +11,11 @@
 	readonly exchange: (content: ExchangeContent) => Promise<ExchangeContent>;
 	/** Borrows units of a workspace; undefined if the other host does not lend them now. */
 	readonly borrow: (request: LoanRequest) => Promise<LoanGrant | undefined>;
-	/** Asks the other host to borrow a part of a workspace's token bucket, to lend it on as the standby host. */
+	/** Asks the other host, the standby host of a workspace, to renew its standby loan. */
 	readonly requestStandby: (workspace: string) => Promise<void>;
 	/** Hands over a workspace's token bucket; false if the other host does not have the handover's version of the roster, or is not the home host in it. */
 	readonly handOver: (handover: BucketHandover) => Promise<boolean>;
-	/** Passes an operator's change on to the other host, an acceptor. */
+	/** Forwards an operator's change to the other host, an acceptor. */
 	readonly passChange: (change: ChangeRequest) => Promise<ChangeResponse>;
 	/** Forwards an admitted request to its gateway; undefined if the answer was lost. */
 	readonly forward: (request: AdmittedRequest, signal: AbortSignal) => Promise<Answer | undefined>;
--- a/packages/proxy/_committed-transaction.ts
+++ b/packages/proxy/_committed-transaction.ts
@@ -4,7 +4,7 @@
 export type CommittedTransaction = {
 	readonly kind: 'committed';
 	readonly results: readonly SqlResult[];
-	/** Log position at the primary that includes the commit. */
+	/** Log point at the primary that includes the commit. */
 	readonly point: LogPoint;
 	/** Whether the results come from the idempotency record of an earlier run. */
 	readonly isReplayed: boolean;
--- a/packages/proxy/create-peers.ts
+++ b/packages/proxy/create-peers.ts
@@ -3,8 +3,9 @@
 import type {FindPeer} from './find-peer.ts';
 
 /**
- * Creates a function that finds the clients of other hosts, which creates and replaces clients as the platform's list of
- * hosts changes.
+ * Creates a function that finds the client of another host.
+ *
+ * It creates the client on first use, and replaces it when the host's address in the platform's list changes.
  *
  * @param readState Reads the state of the control loop.
  * @param options Timeout of calls, heartbeat times, and the clock.
--- a/packages/proxy/mod.ts
+++ b/packages/proxy/mod.ts
@@ -1,4 +1,4 @@
-/** The proxy itself: requests, database groups, and the control loop that ties the peers to the decisions. */
+/** The proxy: execution of requests, connections to database groups, and the control loop, which carries out the decisions. */
 export type * from './attempt-scope.ts';
 export type * from './change-backend.ts';
 export * from './create-change-backend.ts';
