--- a/bench/measure-decisions.ts
+++ b/bench/measure-decisions.ts
@@ -127,7 +127,7 @@
 					({state} = stepHost(state, {
 						event: {
 							kind: 'reported', database, sentAt: round, report: {
-								instance: `${database}-a`, term: 1, role: 'primary', at: {term: 1, position: BigInt(round)},
+								instance: `${database}-a`, term: 1, role: 'primary', point: {term: 1, position: BigInt(round)},
 							},
 						}, settings, now: round + 1,
 					}));
@@ -156,7 +156,7 @@
 			for (const {id} of group.instances) {
 				view = applyReport(view, {
 					report: {
-						instance: id, term: 1, role: id.endsWith('a') ? 'primary' : 'replica', at: {term: 1, position: BigInt(now)},
+						instance: id, term: 1, role: id.endsWith('a') ? 'primary' : 'replica', point: {term: 1, position: BigInt(now)},
 					}, sentAt: now * 100, now: (now * 100) + 5,
 				});
 			}
--- a/packages/decisions/apply-report.ts
+++ b/packages/decisions/apply-report.ts
@@ -59,7 +59,7 @@
 /** Finds the proof that the newest reports give; `undefined` unless a majority that includes the primary is in the term. */
 function findTermProof(view: GroupView): TermProof | undefined {
 	const primary = view.primary === undefined ? undefined : view.instances.get(view.primary);
-	if (primary?.report.role !== 'primary' || primary.report.at.term !== view.term) {
+	if (primary?.report.role !== 'primary' || primary.report.point.term !== view.term) {
 		return undefined;
 	}
 
@@ -73,7 +73,7 @@
 	}
 
 	const since = Math.min(primary.sentAt, ...others.slice(0, needed));
-	return {term: view.term, point: primary.report.at, since};
+	return {term: view.term, point: primary.report.point, since};
 }
 
 function chooseNewerProof(old: TermProof | undefined, found: TermProof | undefined): TermProof | undefined {
@@ -102,8 +102,8 @@
 /** Finds the highest log point of the term that a majority of instances has applied. */
 function findAcknowledgedPoint(view: GroupView): LogPoint | undefined {
 	const points = listTermMembers(view)
-		.map(({report}) => report.at)
-		.filter(at => at.term === view.term)
+		.map(({report}) => report.point)
+		.filter(point => point.term === view.term)
 		.toSorted((a, b) => comparePoints(b, a));
 	const found = points[countMajority(view.group) - 1];
 	if (found === undefined) {
--- a/packages/decisions/choose-instance.test.ts
+++ b/packages/decisions/choose-instance.test.ts
@@ -26,10 +26,10 @@
 }
 
 const primary = (position: bigint, term = 1): InstanceReport => ({
-	instance: 'a', term, role: 'primary', at: {term, position},
+	instance: 'a', term, role: 'primary', point: {term, position},
 });
 const replica = (instance: string, position: bigint): InstanceReport => ({
-	instance, term: 1, role: 'replica', at: {term: 1, position},
+	instance, term: 1, role: 'replica', point: {term: 1, position},
 });
 
 const termOneAnswers = [
--- a/packages/decisions/choose-instance.ts
+++ b/packages/decisions/choose-instance.ts
@@ -54,11 +54,11 @@
 		}
 
 		case 'session': {
-			return options.point !== undefined && isCovered(options.point, report.at);
+			return options.point !== undefined && isCovered(options.point, report.point);
 		}
 
 		case 'within': {
-			return findStaleness(view, {at: report.at, now: options.now}) <= options.freshness.age;
+			return findStaleness(view, {point: report.point, now: options.now}) <= options.freshness.age;
 		}
 	}
 }
--- a/packages/decisions/find-staleness.ts
+++ b/packages/decisions/find-staleness.ts
@@ -5,8 +5,8 @@
 /**
  * Finds the maximum staleness of a log that ends at a log point.
  *
- * The staleness counts from the newest proof whose point of the primary the log includes, that is from the moment
- * before the probes of that proof were sent.
+ * The staleness counts from the newest proof whose point of the primary the log includes, that is from when the
+ * oldest probe of that proof was sent.
  *
  * @param view The group.
  * @param options The log point and the present time in monotonic milliseconds.
@@ -14,13 +14,13 @@
  */
 export function findStaleness(
 	view: GroupView,
-	options: {readonly at: LogPoint; readonly now: number},
+	options: {readonly point: LogPoint; readonly now: number},
 ): number {
-	const {at, now} = options;
-	if (view.proof !== undefined && isCovered(view.proof.point, at)) {
+	const {point, now} = options;
+	if (view.proof !== undefined && isCovered(view.proof.point, point)) {
 		return now - view.proof.since;
 	}
 
-	const proof = view.recentProofs.findLast(kept => isCovered(kept.point, at));
+	const proof = view.recentProofs.findLast(kept => isCovered(kept.point, point));
 	return proof === undefined ? Infinity : now - proof.since;
 }
--- a/packages/decisions/instance-report.ts
+++ b/packages/decisions/instance-report.ts
@@ -8,5 +8,5 @@
 	readonly term: number;
 	readonly role: InstanceRole;
 	/** Last log entry applied. */
-	readonly at: LogPoint;
+	readonly point: LogPoint;
 };
--- a/packages/decisions/is-suspected.ts
+++ b/packages/decisions/is-suspected.ts
@@ -3,7 +3,7 @@
 import type {GroupView} from './group-view.ts';
 
 /**
- * Tells whether the primary of a group is suspected to have failed.
+ * Returns whether the primary of a group is suspected to have failed.
  *
  * True if the primary has not answered for longer than `suspectAfter`, if no primary is known, or if an instance has
  * granted a higher term than the primary's and no primary of that term has appeared for twice as long.
@@ -29,13 +29,13 @@
 	return now - lastAnswerAt > limit || hasHigherTermSince(view, now - (2 * limit)) || isHandoverDue(view);
 }
 
-/** Tells whether an instance entered a term higher than the group's before the given time. */
+/** Returns whether an instance entered a term higher than the group's before the given time. */
 function hasHigherTermSince(view: GroupView, before: number): boolean {
 	return [...view.instances.values()]
 		.some(({report, changedAt}) => report.term > view.term && changedAt < before);
 }
 
-/** Tells whether the primary departs and a replica that does not depart has its whole log. */
+/** Returns whether the primary departs and a replica that does not depart has its whole log. */
 function isHandoverDue(view: GroupView): boolean {
 	const departing = new Set(view.group.instances.filter(({isDeparting}) => isDeparting).map(({id}) => id));
 	const primary = view.primary === undefined ? undefined : view.instances.get(view.primary);
@@ -45,5 +45,5 @@
 
 	return [...view.instances.values()]
 		.filter(({report}) => !departing.has(report.instance) && report.term === view.term)
-		.some(({report}) => comparePoints(report.at, primary.report.at) >= 0);
+		.some(({report}) => comparePoints(report.point, primary.report.point) >= 0);
 }
--- a/packages/decisions/lend-standby-units.ts
+++ b/packages/decisions/lend-standby-units.ts
@@ -4,7 +4,7 @@
 	/** Units that the borrower needs; exactly this number is lent, or none. */
 	readonly needed: number;
 	/** Longest time in milliseconds for which units are lent. */
-	readonly longestSpan: number;
+	readonly maxValidMs: number;
 	/**
 	 * Greatest ratio of two hosts' clock rates. The rest of the standby loan's time is divided by it, so that a
 	 * borrower with a slower clock stops before the standby loan expires.
@@ -28,10 +28,10 @@
 export function lendStandbyUnits(
 	loan: StandbyLoan,
 	request: StandbyLoanRequest,
-): {readonly loan: StandbyLoan; readonly units: number; readonly span: number} {
+): {readonly loan: StandbyLoan; readonly units: number; readonly validMs: number} {
 	const remaining = (loan.expiresAt - request.now) / request.driftMargin;
 	const units = remaining > 0 && loan.units >= request.needed ? request.needed : 0;
 	return {
-		loan: {...loan, units: loan.units - units}, units, span: Math.max(0, Math.floor(Math.min(remaining, request.longestSpan))),
+		loan: {...loan, units: loan.units - units}, units, validMs: Math.max(0, Math.floor(Math.min(remaining, request.maxValidMs))),
 	};
 }
--- a/packages/decisions/lend-units.test.ts
+++ b/packages/decisions/lend-units.test.ts
@@ -8,7 +8,7 @@
 
 const rate = 50;
 const burst = 40;
-const span = 2000;
+const loanSpanMs = 2000;
 
 describe('lendUnits', () => {
 	const settlements: ReadonlyArray<readonly [string, ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>, number]> = [
@@ -23,7 +23,7 @@
 					host: 'a', id: 2, units: 40, expiresAt: 3000,
 				}],
 			}, {
-				host: 'a', id: 3, needed: 1, wanted: 1000, settled, rate, burst, span, now: 1000,
+				host: 'a', id: 3, needed: 1, wanted: 1000, settled, rate, burst, expiresAfterMs: loanSpanMs, now: 1000,
 			});
 			expect(lent.units > 0).to.equal(units > 0);
 			expect(lent.bucket.level + lent.units).to.be.closeTo(units, 1e-9);
@@ -37,10 +37,10 @@
 		for (let now = 0; now <= 10_000; now += 10) {
 			const report = settleLoanAccount(account);
 			const lent = lendUnits(home, {
-				host: 'a', id: report.id, needed: 1, wanted: 5, settled: report.settled, rate, burst, span, now,
+				host: 'a', id: report.id, needed: 1, wanted: 5, settled: report.settled, rate, burst, expiresAfterMs: loanSpanMs, now,
 			});
 			home = lent.bucket;
-			const spent = spendUnits(addLoan(report.account, {id: report.id, units: lent.units, expiresAt: now + span}), {cost: 1, isFirst: true, now});
+			const spent = spendUnits(addLoan(report.account, {id: report.id, units: lent.units, expiresAt: now + loanSpanMs}), {cost: 1, isFirst: true, now});
 			({account} = spent);
 			used += spent.isSpent ? 1 : 0;
 		}
--- a/packages/decisions/lend-units.ts
+++ b/packages/decisions/lend-units.ts
@@ -20,7 +20,7 @@
 	 * Milliseconds after which the home host counts the loan as used. Longer than the borrower may use the loan, so
 	 * that a borrower with a slower clock stops before.
 	 */
-	readonly span: number;
+	readonly expiresAfterMs: number;
 	/** Monotonic milliseconds. */
 	readonly now: number;
 };
@@ -55,7 +55,7 @@
 	const units = chooseLoanSize(level, request);
 	const lent = units > 0
 		? [...loans, {
-			host: request.host, id: request.id, units, expiresAt: now + request.span,
+			host: request.host, id: request.id, units, expiresAt: now + request.expiresAfterMs,
 		}]
 		: loans;
 	return {
--- a/packages/decisions/rate-bound.test.ts
+++ b/packages/decisions/rate-bound.test.ts
@@ -12,10 +12,10 @@
 
 const rate = 50;
 const burst = 40;
-const span = 2000;
+const loanSpanMs = 2000;
 const driftMargin = 1.1;
 const standbyUnits = burst / 4;
-const standbySpan = 4000;
+const standbySpanMs = 4000;
 const runs = 400;
 
 /**
@@ -25,7 +25,7 @@
  */
 type ScheduleStep =
 	| {readonly kind: 'wait'; readonly milliseconds: number}
-	| {readonly kind: 'ask'; readonly host: number; readonly wanted: number}
+	| {readonly kind: 'requestLoan'; readonly host: number; readonly wanted: number}
 	| {readonly kind: 'deliver'; readonly pick: number}
 	| {readonly kind: 'lose'; readonly pick: number}
 	| {readonly kind: 'request'; readonly host: number; readonly cost: number}
@@ -38,7 +38,7 @@
 
 const scheduleStep: fc.Arbitrary<ScheduleStep> = fc.oneof(
 	{weight: 3, arbitrary: fc.record({kind: fc.constant('wait' as const), milliseconds: fc.oneof(fc.integer({min: 1, max: 20}), fc.integer({min: 300, max: 2300}))})},
-	{weight: 3, arbitrary: fc.record({kind: fc.constant('ask' as const), host: fc.integer({min: 0, max: 3}), wanted: fc.integer({min: 1, max: 30})})},
+	{weight: 3, arbitrary: fc.record({kind: fc.constant('requestLoan' as const), host: fc.integer({min: 0, max: 3}), wanted: fc.integer({min: 1, max: 30})})},
 	{weight: 4, arbitrary: fc.record({kind: fc.constant('deliver' as const), pick: fc.nat(20)})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('lose' as const), pick: fc.nat(20)})},
 	{weight: 6, arbitrary: fc.record({kind: fc.constant('request' as const), host: fc.integer({min: 0, max: 3}), cost: fc.integer({min: 1, max: 6})})},
@@ -68,21 +68,21 @@
 	const messages: Message[] = [];
 	const admitted: Array<{at: number; cost: number}> = [];
 
-	const ask = (host: number, {wanted, needed}: {readonly wanted: number; readonly needed: number}) => {
+	const requestLoan = (host: number, {wanted, needed}: {readonly wanted: number; readonly needed: number}) => {
 		const name = names[host] ?? '';
 		const {account, settled, id} = settleLoanAccount(accounts.get(host) ?? createLoanAccount(now));
-		const askedAt = now;
+		const requestedAt = now;
 		const number = homeGeneration;
 		accounts.set(host, account);
 		messages.push({
 			arrive() {
 				const units = lend({
-					host: name, id, needed: Math.min(needed, wanted), wanted, settled, span: span * driftMargin,
+					host: name, id, needed: Math.min(needed, wanted), wanted, settled, expiresAfterMs: loanSpanMs * driftMargin,
 				}, number) ?? 0;
 				messages.push({
 					arrive() {
 						if (names[host] === name) {
-							accounts.set(host, addLoan(accounts.get(host) ?? createLoanAccount(now), {id, units, expiresAt: askedAt + span}));
+							accounts.set(host, addLoan(accounts.get(host) ?? createLoanAccount(now), {id, units, expiresAt: requestedAt + loanSpanMs}));
 						}
 					},
 				});
@@ -91,13 +91,13 @@
 	};
 
 	/** Lends at the home host, when it is the one that was asked and its predecessor has stopped lending. */
-	const lend = (asked: Omit<Parameters<typeof lendUnits>[1], 'rate' | 'burst' | 'now'>, number: number) => {
+	const lend = (request: Omit<Parameters<typeof lendUnits>[1], 'rate' | 'burst' | 'now'>, number: number) => {
 		if (number !== homeGeneration || now < home.refilledAt) {
 			return undefined;
 		}
 
 		const lent = lendUnits(home, {
-			...asked, rate, burst, now,
+			...request, rate, burst, now,
 		});
 		home = lent.bucket;
 		return lent.units;
@@ -108,20 +108,20 @@
 		const id = standbyLoan.id + 1;
 		standbyLoan = {id, units: 0, expiresAt: now};
 		const units = lend({
-			host: 'standby', id, needed: 0, wanted: standbyUnits, settled, span: standbySpan * driftMargin,
+			host: 'standby', id, needed: 0, wanted: standbyUnits, settled, expiresAfterMs: standbySpanMs * driftMargin,
 		}, homeGeneration);
 		if (units !== undefined && answerArrives) {
-			standbyLoan = {id, units, expiresAt: now + standbySpan};
+			standbyLoan = {id, units, expiresAt: now + standbySpanMs};
 		}
 	};
 
 	const borrowFromStandby = (host: number, wanted: number) => {
 		const lent = lendStandbyUnits(standbyLoan, {
-			needed: wanted, longestSpan: span, driftMargin, now,
+			needed: wanted, maxValidMs: loanSpanMs, driftMargin, now,
 		});
 		({loan: standbyLoan} = lent);
 		const {account, id} = settleLoanAccount(accounts.get(host) ?? createLoanAccount(now));
-		accounts.set(host, addLoan(account, {id, units: lent.units, expiresAt: now + lent.span}));
+		accounts.set(host, addLoan(account, {id, units: lent.units, expiresAt: now + lent.validMs}));
 	};
 
 	const request = (host: number, cost: number): boolean => {
@@ -141,8 +141,8 @@
 				break;
 			}
 
-			case 'ask': {
-				ask(step.host, {wanted: step.wanted, needed: 1});
+			case 'requestLoan': {
+				requestLoan(step.host, {wanted: step.wanted, needed: 1});
 				break;
 			}
 
@@ -162,7 +162,7 @@
 			}
 
 			case 'borrow': {
-				ask(step.host, step);
+				requestLoan(step.host, step);
 				messages.pop()?.arrive();
 				messages.pop()?.arrive();
 				break;
@@ -188,10 +188,10 @@
 
 			case 'loseHome': {
 				homeGeneration++;
-				const since = now + (span * driftMargin);
+				const since = now + (loanSpanMs * driftMargin);
 				home = {
 					level: 0, refilledAt: since, loans: [{
-						host: '', id: 0, units: standbyUnits, expiresAt: since + (standbySpan * driftMargin),
+						host: '', id: 0, units: standbyUnits, expiresAt: since + (standbySpanMs * driftMargin),
 					}],
 				};
 				break;
--- a/packages/decisions/step-failover.test.ts
+++ b/packages/decisions/step-failover.test.ts
@@ -76,7 +76,7 @@
 	const createReport = (name: string): InstanceReport => {
 		const model = find(name);
 		return {
-			instance: name, term: model.term, role: model.role, at: readEnd(model),
+			instance: name, term: model.term, role: model.role, point: readEnd(model),
 		};
 	};
 
--- a/packages/decisions/step-failover.ts
+++ b/packages/decisions/step-failover.ts
@@ -174,7 +174,7 @@
 /** Chooses the most up-to-date log; among equals an instance that does not depart and is not the suspected primary. */
 function chooseSuccessor(reports: readonly InstanceReport[], view: GroupView): string {
 	const best = reports.toSorted((a, b) => {
-		const order = comparePoints(b.at, a.at);
+		const order = comparePoints(b.point, a.point);
 		return order === 0 ? rankSuccessor(a.instance, view) - rankSuccessor(b.instance, view) : order;
 	});
 	return best[0]?.instance ?? '';
--- a/packages/hosts/create-host-service.ts
+++ b/packages/hosts/create-host-service.ts
@@ -23,16 +23,16 @@
 	readonly execute: (request: AdmittedRequest) => Promise<Answer>;
 	/** Hybrid logical clock; orders events of this host after those of other hosts that it has observed. */
 	readonly clock: HybridClock;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 	/** Lends units of a workspace; undefined if this host is neither its home host nor its standby host with units to lend on. */
 	readonly lend: (request: LoanRequest) => LoanGrant | undefined;
-	/** Borrows a part of a workspace's token bucket from the home host, to lend it on as the standby host. */
-	readonly stand: (workspace: string) => void;
+	/** Renews the standby loan of a workspace at the request of its home host. */
+	readonly renewStandbyLoan: (workspace: string) => void;
 	/** Takes over a workspace's token bucket; false unless this host has the handover's version of the roster and is the home host in it. */
-	readonly takeOver: (handover: BucketHandover) => boolean;
-	/** Commits an operator's change that another host passed on. */
-	readonly takeChange: (change: ChangeRequest) => Promise<MessageInitShape<typeof ChangeResponseSchema>>;
+	readonly acceptHandover: (handover: BucketHandover) => boolean;
+	/** Commits an operator's change that another host forwarded. */
+	readonly handleForwardedChange: (change: ChangeRequest) => Promise<MessageInitShape<typeof ChangeResponseSchema>>;
 };
 
 type ControlAnswer = NonNullable<MessageInitShape<typeof ControlResponseSchema>['answer']>;
@@ -73,18 +73,18 @@
 		}
 
 		case 'stand': {
-			options.stand(call.value.workspace);
+			options.renewStandbyLoan(call.value.workspace);
 			return {case: call.case, value: {}};
 		}
 
 		case 'handOver': {
 			const {loans, ...handover} = call.value;
-			const taken = options.takeOver({...handover, loans: loans.map(({leftMs, ...loan}) => ({...loan, remainingMs: leftMs}))});
+			const taken = options.acceptHandover({...handover, loans: loans.map(({leftMs, ...loan}) => ({...loan, remainingMs: leftMs}))});
 			return {case: call.case, value: {taken}};
 		}
 
 		case 'passChange': {
-			return {case: call.case, value: await options.takeChange(call.value)};
+			return {case: call.case, value: await options.handleForwardedChange(call.value)};
 		}
 
 		case undefined: {
--- a/packages/proxy/change-backend.ts
+++ b/packages/proxy/change-backend.ts
@@ -9,7 +9,7 @@
 	/** Commits an operator's change; forwards it to an acceptor when this host is not one. */
 	readonly change: (request: ChangeRequest, change: Change) => Promise<Outcome>;
 	/** Commits a change that another host forwarded. */
-	readonly takeChange: (request: ChangeRequest) => Promise<Outcome>;
+	readonly handleForwardedChange: (request: ChangeRequest) => Promise<Outcome>;
 	/** Commits a roster, unless the table has changed since this host's version. */
 	readonly changeRoster: (roster: Omit<FleetConfiguration['roster'], 'head' | 'epoch'>) => Promise<void>;
 	/** Reads the table and dispatches its content to the control loop; false when the read fails. */
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -29,7 +29,8 @@
 /** Milliseconds before the next call to a standby host that lent nothing. */
 const standbyRetryMs = 250;
 
-type UnitRequest = Omit<LoanRequest, 'host' | 'isStandby'>;
+/** A loan request without the fields that are the same for all requests of this host. */
+type LoanRequestContent = Omit<LoanRequest, 'host' | 'isStandby'>;
 
 const notAnswered: BorrowOutcome = {hasAnswer: false, retryAfter: homeRetryMs};
 
@@ -52,7 +53,7 @@
 	const readAccount = (workspace: string) => accounts.get(workspace) ?? createLoanAccount(now());
 
 	/** Borrows units from a host and adds the loan to the account; undefined when the host does not answer or may not lend. */
-	const borrowFrom = async (lender: string | undefined, request: UnitRequest): Promise<LoanGrant | undefined> => {
+	const borrowFrom = async (lender: string | undefined, request: LoanRequestContent): Promise<LoanGrant | undefined> => {
 		const requestedAt = now();
 		const isAlive = options.readState().membership.members.get(lender ?? '')?.isAlive ?? true;
 		if (lender === undefined || !isAlive) {
@@ -76,6 +77,7 @@
 		const state = options.readState();
 		const {account, settled, id} = settleLoanAccount(readAccount(workspace));
 		accounts.set(workspace, account);
+		// `demand` decays with a time constant of 1 s, so a thousandth of it is the demand per millisecond.
 		const wanted = cost + (account.demand * settings.prefetch / 1000);
 		const request = {
 			id, workspace, needed: cost, wanted, settled,
--- a/packages/proxy/create-change-backend.ts
+++ b/packages/proxy/create-change-backend.ts
@@ -34,10 +34,10 @@
 	};
 
 	const readVersion = async () => {
-		const provenAt = now();
+		const requestedAt = now();
 		try {
 			const fleet = await readConfiguration(platform, options.readState());
-			dispatch({kind: 'configurationRead', fleet, confirmedAt: provenAt});
+			dispatch({kind: 'configurationRead', fleet, confirmedAt: requestedAt});
 			return true;
 		} catch {
 			log.debug('platform: Reading the configuration failed.');
@@ -60,13 +60,13 @@
 
 	const commit = async (request: ChangeRequest, change: Change): Promise<CommitOutcome> => {
 		const {changeId, basedOn} = request;
-		const provenAt = now();
+		const requestedAt = now();
 		addPendingCommits(1);
 		const outcome = await commitChange(platform, {
 			change, changeId, basedOn, host: options.self,
 		});
 		if (outcome.kind === 'committed') {
-			dispatch({kind: 'configurationRead', fleet: outcome.fleet, confirmedAt: provenAt});
+			dispatch({kind: 'configurationRead', fleet: outcome.fleet, confirmedAt: requestedAt});
 			options.events.emit({kind: 'change-committed', detail: `version ${outcome.fleet.configuration.version}`});
 		} else {
 			options.events.emit({kind: 'change-refused', detail: `code ${outcome.code}`});
@@ -111,7 +111,7 @@
 	return {
 		change,
 		readVersion,
-		async takeChange(request) {
+		async handleForwardedChange(request) {
 			const decoded = decodeChange(request);
 			return decoded.kind === 'invalid'
 				? {code: resultCodes.changeInvalid, reason: decoded.reason}
@@ -119,13 +119,13 @@
 		},
 		async changeRoster(roster) {
 			const {head} = options.readState().roster;
-			const provenAt = now();
+			const requestedAt = now();
 			addPendingCommits(1);
 			try {
 				const fleet = await commitRoster(platform, {...roster, head});
 				addPendingCommits(-1);
 				if (fleet !== undefined) {
-					dispatch({kind: 'configurationRead', fleet, confirmedAt: provenAt});
+					dispatch({kind: 'configurationRead', fleet, confirmedAt: requestedAt});
 					log.info(`platform: The roster has ${roster.homes.length} live hosts.`);
 				}
 			} catch {
--- a/packages/proxy/create-control-loop.ts
+++ b/packages/proxy/create-control-loop.ts
@@ -15,7 +15,7 @@
 };
 
 /** The control loop of a host. */
-type Loop = {
+type ControlLoop = {
 	readonly state: () => HostState;
 	readonly dispatch: (event: HostEvent) => void;
 };
@@ -25,7 +25,7 @@
  *
  * Events that are dispatched during a step are processed after it, in order.
  */
-export function createControlLoop(options: Options): Loop {
+export function createControlLoop(options: Options): ControlLoop {
 	const emitter = new EventEmitter(); // eslint-disable-line unicorn/prefer-event-target -- the event source that most supports
 	const queue: HostEvent[] = [];
 	let state = createHostState(options.host, options.incarnation);
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -59,7 +59,7 @@
 			head: state.roster.head,
 			tableAgeMs: at - state.tableConfirmedAt,
 			configurationText: other !== undefined && other.head < state.roster.head ? formatFleetConfiguration(state) : '',
-			confirmations: listConfirmations(state, {maxTableAgeMs: options.maxTableAgeMs, now: at}).map(({id, confirmedAt: given}) => ({id, ageMs: at - given})),
+			confirmations: listConfirmations(state, {maxTableAgeMs: options.maxTableAgeMs, now: at}).map(({id, confirmedAt}) => ({id, ageMs: at - confirmedAt})),
 			primariesDigest: digest,
 			primaries: other !== undefined && other.primariesDigest !== digest ? primaries : [],
 			memberUpdates: listMemberUpdates(state, at),
--- a/packages/proxy/create-failover-runner.ts
+++ b/packages/proxy/create-failover-runner.ts
@@ -49,7 +49,7 @@
 	};
 
 	const fence = async (database: string, {instance, term}: Extract<FailoverEffect, {readonly kind: 'fence'}>) => {
-		const answer = await findGroup(database)?.findCommander(instance)?.fence(term, options.owner);
+		const answer = await findGroup(database)?.findFailoverClient(instance)?.fence(term, options.owner);
 		if (answer !== undefined) {
 			dispatch({kind: 'failover', database, event: {kind: 'fenceAnswered', term, ...answer}});
 		}
@@ -57,7 +57,7 @@
 
 	const promote = async (database: string, {instance, term}: Extract<FailoverEffect, {readonly kind: 'promote'}>) => {
 		const sentAt = now();
-		const answer = await findGroup(database)?.findCommander(instance)?.promote(term, options.owner);
+		const answer = await findGroup(database)?.findFailoverClient(instance)?.promote(term, options.owner);
 		if (answer !== undefined) {
 			dispatch({
 				kind: 'reported', database, report: answer.report, sentAt,
@@ -70,7 +70,7 @@
 		const group = findGroup(database);
 		const primary = group?.view().group.instances.find(({id}) => id === effect.primary);
 		if (primary !== undefined) {
-			await group?.findCommander(effect.instance)?.follow(effect.term, primary);
+			await group?.findFailoverClient(effect.instance)?.follow(effect.term, primary);
 		}
 	};
 
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -24,7 +24,7 @@
 type InstanceClients = {
 	readonly address: string;
 	readonly prober: Prober;
-	readonly commander: FailoverClient;
+	readonly failoverClient: FailoverClient;
 	/** Pools by purpose; a pool is created on its first use and closed when idle. */
 	readonly pools: Map<'gateway' | 'direct', PoolEntry>;
 };
@@ -89,7 +89,7 @@
 				clients.set(id, {
 					address,
 					prober: openProber(address, {...options, timeoutMs: options.settings.silenceLimit}),
-					commander: createFailoverClient(address, options.settings.commandTimeout),
+					failoverClient: createFailoverClient(address, options.settings.commandTimeout),
 					pools: new Map(),
 				});
 			}
@@ -157,9 +157,9 @@
 			}
 		},
 		probe,
-		async acquire(instance, demand) {
-			const pool = findPool(instance, demand.isGateway ? 'gateway' : 'direct');
-			const connection = await pool?.acquire(demand);
+		async acquire(instance, request) {
+			const pool = findPool(instance, request.isGateway ? 'gateway' : 'direct');
+			const connection = await pool?.acquire(request);
 			if (connection !== undefined && pool !== undefined) {
 				poolByConnection.set(connection, pool);
 			}
@@ -209,7 +209,7 @@
 				},
 			};
 		},
-		findCommander: instance => clients.get(instance)?.commander,
+		findFailoverClient: instance => clients.get(instance)?.failoverClient,
 		close() {
 			clearTimeout(urgentTimer);
 			clearInterval(idleTimer);
--- a/packages/proxy/create-home-buckets.test.ts
+++ b/packages/proxy/create-home-buckets.test.ts
@@ -66,7 +66,7 @@
 
 	it('lends the standby host its share of the burst, for the longer standby span', () => {
 		const {buckets} = createBuckets();
-		buckets.takeOver({...handedBucket, level: 100});
+		buckets.acceptHandover({...handedBucket, level: 100});
 		const ask = (id: number, settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>) => buckets.lend({
 			host: 'b/standby', id, workspace: 'upper', needed: 0, wanted: 0, settled, isStandby: true,
 		});
@@ -76,27 +76,27 @@
 
 	it('lends at once from a bucket that was handed over', () => {
 		const {buckets, borrow} = createBuckets();
-		expect(buckets.takeOver(handedBucket)).to.equal(true);
+		expect(buckets.acceptHandover(handedBucket)).to.equal(true);
 		expect(borrow(1, 50)).to.equal(50);
 	});
 
 	it('keeps its bucket when the same bucket is handed over again', () => {
 		const {buckets, borrow} = createBuckets();
-		buckets.takeOver(handedBucket);
+		buckets.acceptHandover(handedBucket);
 		borrow(1, 50);
-		expect(buckets.takeOver(handedBucket)).to.equal(true);
+		expect(buckets.acceptHandover(handedBucket)).to.equal(true);
 		expect(borrow(2, 50)).to.equal(0);
 	});
 
 	it('refuses a bucket that was handed over for another roster', () => {
 		const {buckets} = createBuckets();
-		expect(buckets.takeOver({...handedBucket, head: 2})).to.equal(false);
+		expect(buckets.acceptHandover({...handedBucket, head: 2})).to.equal(false);
 	});
 
 	it('drops its buckets only when it missed a roster', () => {
 		for (const [epoch, units] of [[2, 50], [3, undefined]] as const) {
 			const {buckets, borrow} = createBuckets();
-			buckets.takeOver(handedBucket);
+			buckets.acceptHandover(handedBucket);
 			buckets.followRoster(soleRoster, {...soleRoster, epoch});
 			expect(borrow(1, 50), `epoch ${epoch}`).to.equal(units);
 		}
--- a/packages/proxy/create-home-buckets.ts
+++ b/packages/proxy/create-home-buckets.ts
@@ -19,7 +19,7 @@
 /** A bucket with monotonic times in milliseconds. */
 type OwnBucket = {
 	/** When the standby host was last asked to renew its loan. */
-	standbyAskedAt: number;
+	renewalRequestedAt: number;
 	/** From when this host may lend from the bucket. */
 	readonly lendsFrom: number;
 	bucket: HomeBucket;
@@ -29,7 +29,7 @@
 const renewalsPerStandbySpan = 4;
 
 /** Milliseconds between two attempts to hand over a bucket. */
-const handOverRetryMs = 100;
+const handoverRetryMs = 100;
 
 /**
  * Creates the token buckets of the workspaces whose home host this host is.
@@ -79,18 +79,18 @@
 		}
 
 		const lendsFrom = findLendsFrom();
-		const own = buckets.get(workspace) ?? {lendsFrom, standbyAskedAt: -Infinity, bucket: createBucket(workspace, lendsFrom)};
+		const own = buckets.get(workspace) ?? {lendsFrom, renewalRequestedAt: -Infinity, bucket: createBucket(workspace, lendsFrom)};
 		buckets.set(workspace, own);
 		return isRosterCurrent() && now() >= own.lendsFrom ? own : undefined;
 	};
 
 	/** Asks the standby host to renew its loan, at most `renewalsPerStandbySpan` times per span. */
 	const requestRenewal = async (workspace: string, own: OwnBucket) => {
-		if (settings.standby === 0 || now() - own.standbyAskedAt < settings.standbySpan / renewalsPerStandbySpan) {
+		if (settings.standby === 0 || now() - own.renewalRequestedAt < settings.standbySpan / renewalsPerStandbySpan) {
 			return;
 		}
 
-		own.standbyAskedAt = now();
+		own.renewalRequestedAt = now();
 		const standby = findStandby(workspace, options.readState());
 		try {
 			await options.findPeer(standby ?? '')?.requestStandby(workspace);
@@ -99,32 +99,32 @@
 		}
 	};
 
-	const lend = (asked: LoanRequest): LoanGrant | undefined => {
-		const own = findLendableBucket(asked.workspace);
+	const lend = (request: LoanRequest): LoanGrant | undefined => {
+		const own = findLendableBucket(request.workspace);
 		if (own === undefined) {
 			return undefined;
 		}
 
-		const {rate, burst, standby} = findLimit(asked.workspace);
+		const {rate, burst, standby} = findLimit(request.workspace);
 		if (rate === 0) {
 			return undefined;
 		}
 
-		const span = asked.isStandby ? settings.standbySpan : settings.loanSpan;
+		const validMs = request.isStandby ? settings.standbySpan : settings.loanSpan;
 		const lent = lendUnits(own.bucket, {
-			...asked,
-			wanted: asked.isStandby ? standby : asked.wanted,
+			...request,
+			wanted: request.isStandby ? standby : request.wanted,
 			rate,
 			burst,
-			span: span * driftMargin,
+			expiresAfterMs: validMs * driftMargin,
 			now: now(),
 		});
 		own.bucket = lent.bucket;
-		if (!asked.isStandby) {
-			void requestRenewal(asked.workspace, own);
+		if (!request.isStandby) {
+			void requestRenewal(request.workspace, own);
 		}
 
-		return {units: lent.units, validMs: span, retryAfter: lent.retryAfter};
+		return {units: lent.units, validMs, retryAfter: lent.retryAfter};
 	};
 
 	/**
@@ -132,7 +132,7 @@
 	 *
 	 * Gives up after `proofLimit`; the new home host then waits until the loans have expired.
 	 */
-	const handOver = async (workspace: string, bucket: HomeBucket) => {
+	const handOverBucket = async (workspace: string, bucket: HomeBucket) => {
 		const giveUpAt = now() + settings.proofLimit;
 		while (now() < giveUpAt) {
 			const {roster} = options.readState();
@@ -149,7 +149,7 @@
 				// The new home host may answer a later attempt.
 			}
 
-			await sleep(handOverRetryMs); // eslint-disable-line no-await-in-loop -- attempts run one after the other
+			await sleep(handoverRetryMs); // eslint-disable-line no-await-in-loop -- attempts run one after the other
 		}
 	};
 
@@ -165,12 +165,12 @@
 				if (findHome(workspace, after.homes) !== self) {
 					buckets.delete(workspace);
 					if (now() >= own.lendsFrom) {
-						void handOver(workspace, own.bucket);
+						void handOverBucket(workspace, own.bucket);
 					}
 				}
 			}
 		},
-		takeOver({workspace, head, level, loans}) {
+		acceptHandover({workspace, head, level, loans}) {
 			const {roster} = options.readState();
 			const at = now();
 			if (head !== roster.head || findHome(workspace, roster.homes) !== self) {
@@ -179,13 +179,13 @@
 
 			const known = buckets.get(workspace);
 			if (known !== undefined && at >= known.lendsFrom) {
-				// This host lends already, after an earlier hand-over whose answer was lost or after the wait. Its own bucket
-				// stays, as it counts the loans since.
+				// This host lends already, after an earlier handover whose answer was lost or after the wait. Its own bucket
+				// stays, as it counts the loans made since.
 				return true;
 			}
 
 			const openLoans = loans.map(({remainingMs, ...loan}) => ({...loan, expiresAt: at + remainingMs}));
-			buckets.set(workspace, {lendsFrom: at, standbyAskedAt: -Infinity, bucket: {level, refilledAt: at, loans: openLoans}});
+			buckets.set(workspace, {lendsFrom: at, renewalRequestedAt: -Infinity, bucket: {level, refilledAt: at, loans: openLoans}});
 			return true;
 		},
 	};
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -25,7 +25,7 @@
 
 /** Creates the backend that carries out operators' requests on this host. */
 export function createOperatorBackend(options: Options): OperatorBackend {
-	const findAge = () => options.now() - findConfirmedAt(options.readState());
+	const findConfigurationAge = () => options.now() - findConfirmedAt(options.readState());
 	return {
 		change: options.changes.change,
 		readStatus() {
@@ -35,13 +35,13 @@
 				host: options.self,
 				zone: options.zone,
 				configVersion: state.configuration.version,
-				configAgeMs: Math.min(Math.ceil(findAge()), maxAgeMs),
+				configAgeMs: Math.min(Math.ceil(findConfigurationAge()), maxAgeMs),
 				groups: [...state.groups.values()].map(({view}) => ({
 					database: view.group.database,
 					term: view.term,
 					primary: view.primary ?? '',
 					instances: [...view.instances.values()]
-						.map(({report}) => `${report.instance} ${report.role} ${report.at.term}/${report.at.position}`),
+						.map(({report}) => `${report.instance} ${report.role} ${report.point.term}/${report.point.position}`),
 				})),
 				hosts: [...state.membership.hosts.values()].map(host => ({
 					id: host.id,
@@ -59,7 +59,7 @@
 		},
 		drain: options.drain,
 		formatEvents: () => options.events.list().map(event => `${formatEvent(event)}\n`).join(''),
-		isReady: () => !options.readState().isDraining && findAge() <= options.staleAfter,
+		isReady: () => !options.readState().isDraining && findConfigurationAge() <= options.staleAfter,
 		readMetrics: async () => options.metrics.registry.metrics(),
 	};
 }
--- a/packages/proxy/create-rate-limiter.ts
+++ b/packages/proxy/create-rate-limiter.ts
@@ -38,7 +38,7 @@
 	const spendReserve = (request: AdmittedRequest): boolean => {
 		const state = options.readState();
 		const at = now();
-		const share = settings.reserve * chooseReserveShare(state.rosterHistory, {self, span: settings.reserveSpan, now: at});
+		const share = settings.reserve * chooseReserveShare(state.rosterHistory, {self, spanMs: settings.reserveSpan, now: at});
 		if (share === 0 || at - findConfirmedAt(state) > settings.reserveSpan) {
 			return false;
 		}
@@ -53,7 +53,7 @@
 
 	return {
 		async take(request) {
-			const defaultLatest = Math.min(request.deadline, now() + settings.longestWait);
+			const defaultWaitUntil = Math.min(request.deadline, now() + settings.longestWait);
 			let isFirst = true;
 			for (;;) {
 				if (borrower.spend(request, isFirst)) {
@@ -72,9 +72,9 @@
 
 				// A lost home host tells nothing about the rate, and the bucket of the next home host starts empty: requests wait
 				// to their deadlines instead of being refused.
-				const latest = now() < (recoveringUntil.get(request.workspace) ?? 0) ? request.deadline : defaultLatest;
+				const waitUntil = now() < (recoveringUntil.get(request.workspace) ?? 0) ? request.deadline : defaultWaitUntil;
 				const delayMs = Math.max(1, retryAfter);
-				if (now() + delayMs > latest) {
+				if (now() + delayMs > waitUntil) {
 					return createRefusal(resultCodes.rateExceeded, {
 						reason: hasAnswer ? 'the workspace is above its rate' : 'the home of the workspace cannot be reached',
 						retryAfter: delayMs,
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -45,6 +45,7 @@
 export function createRequestHandler(options: Options): RequestHandler {
 	const {settings, events, metrics, now} = options;
 	const idleWaiters = new Set<() => void>();
+	// Allows a few retries before the first requests have added to the budget.
 	let retryBudget: RetryBudget = {retries: 10};
 	let running = 0;
 
--- a/packages/proxy/create-standby-loans.ts
+++ b/packages/proxy/create-standby-loans.ts
@@ -53,17 +53,17 @@
 		renew(workspace) {
 			void renew(workspace);
 		},
-		lend(asked) {
-			const loan = loans.get(asked.workspace);
-			if (loan === undefined || asked.isStandby) {
+		lend(request) {
+			const loan = loans.get(request.workspace);
+			if (loan === undefined || request.isStandby) {
 				return undefined;
 			}
 
 			const lent = lendStandbyUnits(loan, {
-				...asked, longestSpan: settings.loanSpan, driftMargin, now: now(),
+				...request, maxValidMs: settings.loanSpan, driftMargin, now: now(),
 			});
-			loans.set(asked.workspace, lent.loan);
-			return {units: lent.units, validMs: lent.span, retryAfter: lent.units > 0 ? 0 : emptyRetryMs};
+			loans.set(request.workspace, lent.loan);
+			return {units: lent.units, validMs: lent.validMs, retryAfter: lent.units > 0 ? 0 : emptyRetryMs};
 		},
 	};
 }
--- a/packages/proxy/execute-read.ts
+++ b/packages/proxy/execute-read.ts
@@ -19,7 +19,7 @@
 type ReadResult = {
 	readonly kind: 'read';
 	readonly results: readonly SqlResult[];
-	/** Log position of the instance when it answered. */
+	/** Log point of the instance when it answered. */
 	readonly point: LogPoint;
 	readonly instance: string;
 	readonly term: number;
@@ -34,7 +34,7 @@
 /**
  * Executes a read on a replica that is known to be fresh enough, else on the primary.
  *
- * The freshness is checked again with the log position in the answer, so that an instance whose log was truncated after
+ * The freshness is checked again with the log point in the answer, so that an instance whose log was truncated after
  * it was chosen cannot serve older data.
  */
 export async function executeRead(request: ReadRequest, context: ExecutionContext): Promise<Answer> {
@@ -47,18 +47,18 @@
 	options: {readonly context: ExecutionContext; readonly failed: Set<string>},
 ): Promise<Attempt> {
 	const {context, failed} = options;
-	const plan = await context.group.waitFor(view => {
+	const choice = await context.group.waitFor(view => {
 		const found = chooseInstance(excludeInstances(view, failed), {
 			...request.work, zone: context.zone, now: context.now(),
 		});
 		return found.kind === 'none' ? undefined : {...found, term: view.term};
 	}, {deadline: request.deadline, isUrgent: true});
-	if (plan === undefined) {
+	if (choice === undefined) {
 		return {kind: 'failed', mayHaveRun: false, reason: 'no instance that can serve the read is known'};
 	}
 
-	const result = await runRead(request, {context, plan});
-	if (plan.kind === 'primary') {
+	const result = await runRead(request, {context, choice});
+	if (choice.kind === 'primary') {
 		// If the primary fails too, a replica that failed before may be the only choice left for the next attempt.
 		failed.clear();
 		return result.kind === 'read' ? confirmRead(request, {context, result}) : result;
@@ -68,7 +68,7 @@
 		return createDoneAttempt(result, undefined);
 	}
 
-	failed.add(plan.instance);
+	failed.add(choice.instance);
 	return result.kind === 'read'
 		? {kind: 'failed', mayHaveRun: true, reason: 'the replica was too far behind'}
 		: result;
@@ -83,10 +83,10 @@
 
 async function runRead(
 	request: ReadRequest,
-	options: {readonly context: ExecutionContext; readonly plan: InstanceChoice},
+	options: {readonly context: ExecutionContext; readonly choice: InstanceChoice},
 ): Promise<ReadResult | Attempt> {
 	const {context} = options;
-	const {instance, term} = options.plan;
+	const {instance, term} = options.choice;
 	const now = context.now();
 	const deadline = now + Math.min(maxConnectionWaitMs, (request.deadline - now) * connectionWaitShare);
 	const scope = context.group.openAttempt(term, request.deadline);
@@ -136,14 +136,14 @@
 	}
 
 	return freshness.kind === 'within'
-		? findStaleness(context.group.view(), {at: result.point, now: context.now()}) <= freshness.age
+		? findStaleness(context.group.view(), {point: result.point, now: context.now()}) <= freshness.age
 		: point !== undefined && isCovered(point, result.point);
 }
 
 /**
  * Confirms an answer of the primary.
  *
- * Waits until a majority holds the log up to the position of the answer. Unless the session's own position suffices, it
+ * Waits until a majority holds the log up to the point of the answer. Unless the session's own log point suffices, it
  * also waits until a majority is known to have held the primary's term no earlier than the arrival of the read or, for a
  * read that accepts a staleness, no earlier than that long ago.
  */
@@ -154,7 +154,7 @@
 	const {context, result} = options;
 	const {freshness, point} = request.work;
 	const isOwnPoint = freshness.kind === 'session' && point !== undefined && isCovered(point, result.point);
-	const settled = await context.group.waitFor(view => {
+	const outcome = await context.group.waitFor(view => {
 		if (view.term > result.term) {
 			return 'replaced';
 		}
@@ -164,12 +164,12 @@
 		const isHeld = view.acknowledged !== undefined && isCovered(result.point, view.acknowledged);
 		return isCurrent && isHeld ? 'confirmed' : undefined;
 	}, {deadline: request.deadline, isUrgent: true});
-	return settled === 'confirmed'
+	return outcome === 'confirmed'
 		? createDoneAttempt(result, result.point)
 		: {
 			kind: 'failed',
 			mayHaveRun: true,
-			reason: settled === 'replaced' ? 'the primary was replaced' : 'no majority confirmed the primary before the deadline',
+			reason: outcome === 'replaced' ? 'the primary was replaced' : 'no majority confirmed the primary before the deadline',
 		};
 }
 
--- a/packages/proxy/group-runtime.ts
+++ b/packages/proxy/group-runtime.ts
@@ -11,7 +11,7 @@
 	/** Sends a probe to every instance. */
 	readonly probe: () => void;
 	/** Takes a connection to an instance from its pool; undefined when none came free in time. */
-	readonly acquire: (instance: string, demand: {
+	readonly acquire: (instance: string, request: {
 		readonly workspace: string;
 		readonly cost: number;
 		/** Whether to use the gateway's pool instead of the small pool that any host may open. */
@@ -32,6 +32,6 @@
 	) => Promise<Found | undefined>;
 	/** Starts an attempt that ends with the term or at the deadline. */
 	readonly openAttempt: (term: number, deadline: number) => AttemptScope;
-	readonly findCommander: (instance: string) => FailoverClient | undefined;
+	readonly findFailoverClient: (instance: string) => FailoverClient | undefined;
 	readonly close: () => void;
 };
--- a/packages/proxy/home-buckets.ts
+++ b/packages/proxy/home-buckets.ts
@@ -12,7 +12,7 @@
 	 */
 	readonly followRoster: (before: Roster, after: Roster) => void;
 	/** Takes over a bucket; false when this host's roster does not name it as the home host. */
-	readonly takeOver: (bucket: BucketHandover) => boolean;
+	readonly acceptHandover: (bucket: BucketHandover) => boolean;
 	/** Lends units of a workspace; undefined when this host is not its home host or may not lend now. */
-	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
+	readonly lend: (request: LoanRequest) => LoanGrant | undefined;
 };
--- a/packages/proxy/running-host.ts
+++ b/packages/proxy/running-host.ts
@@ -21,13 +21,13 @@
 	/** Returns the current monotonic time in milliseconds. */
 	readonly now: () => number;
 	/** Lends units of a workspace; undefined when this host is neither its home host nor holds a standby loan for it. */
-	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
+	readonly lend: (request: LoanRequest) => LoanGrant | undefined;
 	/** Renews the standby loan of a workspace at the request of its home host. */
-	readonly stand: (workspace: string) => void;
+	readonly renewStandbyLoan: (workspace: string) => void;
 	/** Takes over the bucket of a workspace; false when this host's roster does not name it as the home host. */
-	readonly takeOver: (bucket: BucketHandover) => boolean;
+	readonly acceptHandover: (bucket: BucketHandover) => boolean;
 	/** Commits a change that another host forwarded. */
-	readonly takeChange: ChangeBackend['takeChange'];
+	readonly handleForwardedChange: ChangeBackend['handleForwardedChange'];
 	/** Refuses new requests, and resolves when none is in progress. */
 	readonly drain: () => Promise<void>;
 	/** Stops the control loop's timer and closes the connections to instances. */
--- a/packages/proxy/standby-loans.ts
+++ b/packages/proxy/standby-loans.ts
@@ -5,5 +5,5 @@
 	/** Renews the loan of a workspace at the request of its home host. */
 	readonly renew: (workspace: string) => void;
 	/** Lends units of the standby loan; undefined when this host has none for the workspace. */
-	readonly lend: (asked: LoanRequest) => LoanGrant | undefined;
+	readonly lend: (request: LoanRequest) => LoanGrant | undefined;
 };
--- a/packages/proxy/start-host.ts
+++ b/packages/proxy/start-host.ts
@@ -165,9 +165,9 @@
 	const standbyLoans = createStandbyLoans({
 		owner, settings: settings.rate, readState, findPeer, now,
 	});
-	const lend = (asked: LoanRequest) => {
-		const granted = homeBuckets.lend(asked);
-		return (granted?.units ?? 0) > 0 ? granted : standbyLoans.lend(asked) ?? granted;
+	const lend = (request: LoanRequest) => {
+		const granted = homeBuckets.lend(request);
+		return (granted?.units ?? 0) > 0 ? granted : standbyLoans.lend(request) ?? granted;
 	};
 
 	const borrower = createBorrower({
@@ -221,9 +221,9 @@
 		clock,
 		now,
 		lend,
-		stand: standbyLoans.renew,
-		takeOver: homeBuckets.takeOver,
-		takeChange: changes.takeChange,
+		renewStandbyLoan: standbyLoans.renew,
+		acceptHandover: homeBuckets.acceptHandover,
+		handleForwardedChange: changes.handleForwardedChange,
 		confirm(database, term) {
 			const group = readState().groups.get(database);
 			return group?.watch !== undefined && group.view.term <= term && isSuspected(group.view, {
--- a/packages/wire/decode-report.ts
+++ b/packages/wire/decode-report.ts
@@ -15,6 +15,6 @@
 		instance: report.instance,
 		term: report.term,
 		role: roles[report.role],
-		at: decodePoint(report.at),
+		point: decodePoint(report.at),
 	};
 }
