--- a/packages/decisions/admit-request.ts
+++ b/packages/decisions/admit-request.ts
@@ -37,7 +37,7 @@
 /** Most statements in one request, which run as one transaction. */
 const maxStatements = 1000;
 
-/** Most characters of an idempotency key or a request ID. */
+/** Most characters of an idempotency key or a request identifier. */
 const maxIdentifierLength = 200;
 
 /** Ends admission with a refusal. {@link admitRequest} catches it and returns the refusal as an answer. */
--- a/packages/decisions/choose-instance.test.ts
+++ b/packages/decisions/choose-instance.test.ts
@@ -46,18 +46,18 @@
 		readonly freshness: Freshness; readonly point?: LogPoint; readonly zone: string; readonly now: number;
 	}, string]> = [
 		['the primary for a latest read', createView(termOneAnswers), {freshness: latest, zone: 'b', now: 1010}, 'a'],
-		['the replica of the own zone that has caught up', createView(termOneAnswers), {freshness: within(100), zone: 'b', now: 1010}, 'b'],
+		['the replica of the host\'s zone that has caught up', createView(termOneAnswers), {freshness: within(100), zone: 'b', now: 1010}, 'b'],
 		['a replica of another zone rather than the primary', createView(termOneAnswers), {freshness: within(100), zone: 'c', now: 1010}, 'b'],
 		['the primary when the proof is too old', createView(termOneAnswers), {freshness: within(100), zone: 'b', now: 1101}, 'a'],
 		['no replica that has stopped answering probes', createView(termOneAnswers), {freshness: within(10_000), zone: 'b', now: 2100}, 'a'],
-		['the primary for a session without a point', createView(termOneAnswers), {freshness: session, zone: 'b', now: 1010}, 'a'],
-		['a replica at the session\'s point', createView(termOneAnswers), {
+		['the primary for a session without a log point', createView(termOneAnswers), {freshness: session, zone: 'b', now: 1010}, 'a'],
+		['a replica at the session\'s log point', createView(termOneAnswers), {
 			freshness: session, point: {term: 1, position: 10n}, zone: 'c', now: 1010,
 		}, 'b'],
-		['the replica of the own zone past the session\'s point', createView(termOneAnswers), {
+		['the replica of the host\'s zone past the session\'s log point', createView(termOneAnswers), {
 			freshness: session, point: {term: 1, position: 3n}, zone: 'c', now: 1010,
 		}, 'c'],
-		['the primary when no replica has reached the point', createView(termOneAnswers), {
+		['the primary when no replica has reached the log point', createView(termOneAnswers), {
 			freshness: session, point: {term: 1, position: 11n}, zone: 'b', now: 1010,
 		}, 'a'],
 		['no replica for a session of a later term', createView(termOneAnswers), {
@@ -71,10 +71,10 @@
 	];
 	for (const [title, view, {freshness, point, zone, now}, expected] of cases) {
 		it(`chooses ${title}`, () => {
-			const plan = chooseInstance(view, {
+			const choice = chooseInstance(view, {
 				freshness, point, zone, now,
 			});
-			expect(plan.kind === 'none' ? 'none' : plan.instance).to.equal(expected);
+			expect(choice.kind === 'none' ? 'none' : choice.instance).to.equal(expected);
 		});
 	}
 });
--- a/packages/decisions/choose-instance.ts
+++ b/packages/decisions/choose-instance.ts
@@ -7,7 +7,7 @@
 import type {ReadPlan} from './read-plan.ts';
 
 /** Time without an answer to a probe after which a replica gets no reads. */
-const replicaSilenceLimitMs = 1000;
+const replicaAnswerTimeoutMs = 1000;
 
 /**
  * Chooses the instance for a read.
@@ -32,7 +32,7 @@
 	const departing = new Set(view.group.instances.filter(({isDeparting}) => isDeparting).map(({id}) => id));
 	const replicas = [...view.instances.values()]
 		.filter(({report}) => report.role === 'replica' && report.term === view.term)
-		.filter(({report, answeredAt}) => !departing.has(report.instance) && options.now - answeredAt <= replicaSilenceLimitMs)
+		.filter(({report, answeredAt}) => !departing.has(report.instance) && options.now - answeredAt <= replicaAnswerTimeoutMs)
 		.filter(replica => meetsFreshness(view, replica, options))
 		.toSorted((a, b) => scoreReplica(a, zones, options.zone) - scoreReplica(b, zones, options.zone));
 	const [replica] = replicas;
--- a/packages/decisions/choose-reserve-share.ts
+++ b/packages/decisions/choose-reserve-share.ts
@@ -8,7 +8,8 @@
  * gets no share until it has been listed for that long, and hosts that left within that time still count.
  *
  * @param history Lists of the roster's hosts, and when this host learned of each, oldest first.
- * @param options This host, the time in milliseconds for which a partitioned host uses its share, and monotonic milliseconds.
+ * @param options This host, the time in milliseconds for which a partitioned host uses its share, and monotonic
+ * milliseconds.
  * @returns The share, from 0 to 1.
  */
 export function chooseReserveShare(
--- a/packages/decisions/rate-bound.test.ts
+++ b/packages/decisions/rate-bound.test.ts
@@ -72,13 +72,13 @@
 		const name = names[host] ?? '';
 		const {account, settled, id} = settleLoanAccount(accounts.get(host) ?? createLoanAccount(now));
 		const requestedAt = now;
-		const number = homeGeneration;
+		const generation = homeGeneration;
 		accounts.set(host, account);
 		messages.push({
 			arrive() {
 				const units = lend({
 					host: name, id, needed: Math.min(needed, wanted), wanted, settled, expiresAfterMs: loanSpanMs * driftMargin,
-				}, number) ?? 0;
+				}, generation) ?? 0;
 				messages.push({
 					arrive() {
 						if (names[host] === name) {
@@ -91,8 +91,8 @@
 	};
 
 	/** Lends at the home host, when it is the one that was asked and its predecessor has stopped lending. */
-	const lend = (request: Omit<Parameters<typeof lendUnits>[1], 'rate' | 'burst' | 'now'>, number: number) => {
-		if (number !== homeGeneration || now < home.refilledAt) {
+	const lend = (request: Omit<Parameters<typeof lendUnits>[1], 'rate' | 'burst' | 'now'>, generation: number) => {
+		if (generation !== homeGeneration || now < home.refilledAt) {
 			return undefined;
 		}
 
--- a/packages/decisions/step-failover.test.ts
+++ b/packages/decisions/step-failover.test.ts
@@ -63,7 +63,7 @@
 	}]));
 	const views: GroupView[] = [createGroupView(group), createGroupView(group)];
 	const states: FailoverState[] = [{kind: 'watching'}, {kind: 'watching'}];
-	const pending: Array<{readonly watcher: number; readonly at: LogPoint; readonly term: number; readonly write: string}> = [];
+	const pending: Array<{readonly watcher: number; readonly point: LogPoint; readonly term: number; readonly write: string}> = [];
 	const acknowledged: string[] = [];
 	const messages: Array<() => void> = [];
 	let now = 0;
@@ -84,7 +84,7 @@
 		const view = views[index];
 		for (const write of pending.filter(candidate => candidate.watcher === index)) {
 			const isHeld = view?.term === write.term && view.acknowledged !== undefined
-				&& comparePoints(view.acknowledged, write.at) >= 0;
+				&& comparePoints(view.acknowledged, write.point) >= 0;
 			if (isHeld) {
 				acknowledged.push(write.write);
 				pending.splice(pending.indexOf(write), 1);
@@ -185,7 +185,7 @@
 			writes++;
 			model.log = [...model.log, {term: model.term, write: `w${writes}`}];
 			pending.push({
-				watcher: index, at: readEnd(model), term: model.term, write: `w${writes}`,
+				watcher: index, point: readEnd(model), term: model.term, write: `w${writes}`,
 			});
 		}
 	};
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -96,13 +96,13 @@
 		}
 	};
 
-	const findPool = (instance: string, use: 'gateway' | 'direct'): ConnectionPool | undefined => {
+	const findPool = (instance: string, purpose: 'gateway' | 'direct'): ConnectionPool | undefined => {
 		const client = clients.get(instance);
 		if (client === undefined) {
 			return undefined;
 		}
 
-		const known = client.pools.get(use);
+		const known = client.pools.get(purpose);
 		if (known !== undefined) {
 			known.usedAt = options.now();
 			return known.pool;
@@ -110,21 +110,21 @@
 
 		const pool = createConnectionPool({
 			open: async onClosed => openConnection(client.address, {...options.settings, now: options.now, onClosed}),
-			size: use === 'gateway' ? options.settings.connections : options.settings.directConnections,
+			size: purpose === 'gateway' ? options.settings.connections : options.settings.directConnections,
 			retryDelayMs: options.settings.reconnectDelay,
 			now: options.now,
 		});
-		client.pools.set(use, {pool, usedAt: options.now()});
+		client.pools.set(purpose, {pool, usedAt: options.now()});
 		return pool;
 	};
 
 	/** Closes the pools unused for longer than `idleSpan`, so that scarce connections are free for those that need them. */
 	const closeIdlePools = () => {
 		for (const {pools} of clients.values()) {
-			for (const [use, {pool, usedAt}] of pools) {
+			for (const [purpose, {pool, usedAt}] of pools) {
 				if (options.now() - usedAt > options.settings.idleSpan) {
 					pool.close();
-					pools.delete(use);
+					pools.delete(purpose);
 				}
 			}
 		}
--- a/packages/proxy/create-home-buckets.test.ts
+++ b/packages/proxy/create-home-buckets.test.ts
@@ -32,7 +32,7 @@
 	return {clock, buckets, borrow};
 }
 
-const handedBucket = {
+const handover = {
 	workspace: 'upper', head: 3, level: 50, loans: [],
 };
 
@@ -66,37 +66,37 @@
 
 	it('lends the standby host its share of the burst, for the longer standby span', () => {
 		const {buckets} = createBuckets();
-		buckets.acceptHandover({...handedBucket, level: 100});
-		const ask = (id: number, settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>) => buckets.lend({
+		buckets.acceptHandover({...handover, level: 100});
+		const borrowAsStandby = (id: number, settled: ReadonlyArray<{readonly id: number; readonly used: number; readonly returned: number}>) => buckets.lend({
 			host: 'b/standby', id, workspace: 'upper', needed: 0, wanted: 0, settled, isStandby: true,
 		});
-		expect(ask(1, [])).to.deep.equal({units: 25, validMs: 4000, retryAfter: 0});
-		expect(ask(2, [{id: 1, used: 0, returned: 25}])?.units).to.equal(25);
+		expect(borrowAsStandby(1, [])).to.deep.equal({units: 25, validMs: 4000, retryAfter: 0});
+		expect(borrowAsStandby(2, [{id: 1, used: 0, returned: 25}])?.units).to.equal(25);
 	});
 
 	it('lends at once from a bucket that was handed over', () => {
 		const {buckets, borrow} = createBuckets();
-		expect(buckets.acceptHandover(handedBucket)).to.equal(true);
+		expect(buckets.acceptHandover(handover)).to.equal(true);
 		expect(borrow(1, 50)).to.equal(50);
 	});
 
 	it('keeps its bucket when the same bucket is handed over again', () => {
 		const {buckets, borrow} = createBuckets();
-		buckets.acceptHandover(handedBucket);
+		buckets.acceptHandover(handover);
 		borrow(1, 50);
-		expect(buckets.acceptHandover(handedBucket)).to.equal(true);
+		expect(buckets.acceptHandover(handover)).to.equal(true);
 		expect(borrow(2, 50)).to.equal(0);
 	});
 
 	it('refuses a bucket that was handed over for another roster', () => {
 		const {buckets} = createBuckets();
-		expect(buckets.acceptHandover({...handedBucket, head: 2})).to.equal(false);
+		expect(buckets.acceptHandover({...handover, head: 2})).to.equal(false);
 	});
 
 	it('drops its buckets only when it missed a roster', () => {
 		for (const [epoch, units] of [[2, 50], [3, undefined]] as const) {
 			const {buckets, borrow} = createBuckets();
-			buckets.acceptHandover(handedBucket);
+			buckets.acceptHandover(handover);
 			buckets.followRoster(soleRoster, {...soleRoster, epoch});
 			expect(borrow(1, 50), `epoch ${epoch}`).to.equal(units);
 		}
