--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -24,7 +24,7 @@
 type InstanceClients = {
 	readonly address: string;
 	readonly prober: Prober;
-	readonly commander: FailoverClient;
+	readonly failoverClient: FailoverClient;
 	/** Pools by purpose; a pool is created on its first use and closed when idle. */
 	readonly pools: Map<'gateway' | 'direct', PoolEntry>;
 };
@@ -89,20 +89,20 @@
 				clients.set(id, {
 					address,
 					prober: openProber(address, {...options, timeoutMs: options.settings.silenceLimit}),
-					commander: createFailoverClient(address, options.settings.commandTimeout),
+					failoverClient: createFailoverClient(address, options.settings.commandTimeout),
 					pools: new Map(),
 				});
 			}
 		}
 	};
 
-	const findPool = (instance: string, use: 'gateway' | 'direct'): ConnectionPool | undefined => {
+	const findPool = (instance: string, purpose: 'gateway' | 'direct'): ConnectionPool | undefined => {
 		const client = clients.get(instance);
 		if (client === undefined) {
 			return undefined;
 		}
 
-		const known = client.pools.get(use);
+		const known = client.pools.get(purpose);
 		if (known !== undefined) {
 			known.usedAt = options.now();
 			return known.pool;
@@ -110,21 +110,21 @@
 
 		const pool = createConnectionPool({
 			open: async onClosed => openConnection(client.address, {...options.settings, now: options.now, onClosed}),
-			size: use === 'gateway' ? options.settings.connections : options.settings.directConnections,
+			size: purpose === 'gateway' ? options.settings.connections : options.settings.directConnections,
 			retryDelayMs: options.settings.reconnectDelay,
 			now: options.now,
 		});
-		client.pools.set(use, {pool, usedAt: options.now()});
+		client.pools.set(purpose, {pool, usedAt: options.now()});
 		return pool;
 	};
 
 	/** Closes the pools unused for longer than `idleSpan`, so that scarce connections are free for those that need them. */
 	const closeIdlePools = () => {
 		for (const {pools} of clients.values()) {
-			for (const [use, {pool, usedAt}] of pools) {
+			for (const [purpose, {pool, usedAt}] of pools) {
 				if (options.now() - usedAt > options.settings.idleSpan) {
 					pool.close();
-					pools.delete(use);
+					pools.delete(purpose);
 				}
 			}
 		}
@@ -157,9 +157,9 @@
 			}
 		},
 		probe,
-		async acquire(instance, demand) {
-			const pool = findPool(instance, demand.isGateway ? 'gateway' : 'direct');
-			const connection = await pool?.acquire(demand);
+		async acquire(instance, request) {
+			const pool = findPool(instance, request.isGateway ? 'gateway' : 'direct');
+			const connection = await pool?.acquire(request);
 			if (connection !== undefined && pool !== undefined) {
 				poolByConnection.set(connection, pool);
 			}
@@ -209,7 +209,7 @@
 				},
 			};
 		},
-		findCommander: instance => clients.get(instance)?.commander,
+		findFailoverClient: instance => clients.get(instance)?.failoverClient,
 		close() {
 			clearTimeout(urgentTimer);
 			clearInterval(idleTimer);
