--- a/packages/sessions/create-fleet-controller.ts
+++ b/packages/sessions/create-fleet-controller.ts
@@ -140,7 +140,7 @@
 		const isSilent = isMajoritySilent(answered);
 		log.info({
 			group, primary, answered: answered.length, silent: answered.filter(vote => vote.isSilent).length, isSilent,
-		}, 'failover: The host asked other hosts about a silent primary.');
+		}, 'failover: The hosts voted on whether the primary is silent.');
 		return isSilent;
 	};
 
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -23,7 +23,7 @@
 	readonly openConnection: OpenConnection;
 	readonly gateways: Gateways;
 	/** Whether this host reads the store directly, and passes the primary's log position on to other hosts. */
-	readonly isReading: () => boolean;
+	readonly isStoreReader: () => boolean;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
 	/** Finds a workspace on whose behalf the primary's position may be queried. */
@@ -42,7 +42,7 @@
 /** Creates this host's state of a group: its instances, its primary and samples of the primary's log position. */
 export function createSessionGroup(name: string, options: Options): SessionGroup {
 	const {
-		zone, openConnection, gateways, now, log, findWorkspace, isReading,
+		zone, openConnection, gateways, now, log, findWorkspace, isStoreReader,
 	} = options;
 	const instances = new Map<string, InstanceRuntime>();
 	/** Called when the primary may have changed. */
@@ -247,7 +247,7 @@
 			const at = now();
 			const isDue = isPositionSampleDue({
 				age: last === undefined ? Number.POSITIVE_INFINITY : findElapsed(last.requestedAt, at),
-				isStoreReader: isReading(),
+				isStoreReader: isStoreReader(),
 				hasReplicaReads: at.steady - replicaReadAt < samplingPeriodMs,
 				now: at.steady,
 			});
--- a/packages/sessions/create-table-update.ts
+++ b/packages/sessions/create-table-update.ts
@@ -14,12 +14,12 @@
 /** Creates the update of a table for another host: the rows newer than those it has, or all rows if it has no mark. */
 export function createTableUpdate(table: StoreTable, {cached, asked, now}: Options): TableUpdate {
 	const newest = asked?.mark?.newest ?? -1;
-	const {rows, version, mark, confirmedAt: provenAt, reader} = cached;
+	const {rows, version, mark, confirmedAt, reader} = cached;
 	return {
 		table,
 		version,
 		mark,
-		age: findElapsed(provenAt, now),
+		age: findElapsed(confirmedAt, now),
 		reader,
 		isWhole: asked?.mark === undefined,
 		rows: [...rows.values()].filter(row => row.version > newest),
--- a/packages/sessions/mod.ts
+++ b/packages/sessions/mod.ts
@@ -1,4 +1,4 @@
-/** Sessions of callers over groups of instances; the wire and the store are passed in as functions. */
+/** Serves the sessions of callers on groups of instances. The wire protocols and the store's client are passed in as functions. */
 export type * from './access.ts';
 export type * from './acquire-outcome.ts';
 export * from './add-position-sample.ts';
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -51,10 +51,10 @@
 	return costMs;
 }
 
-function isLikelyLagging({lastLag: lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
-	if (lagged === undefined || now - lagged.at > lagRetentionMs) {
+function isLikelyLagging({lastLag, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
+	if (lastLag === undefined || now - lastLag.at > lagRetentionMs) {
 		return false;
 	}
 
-	return comparePoints(required, lagged.missingPosition) >= 0 && (position === undefined || comparePoints(position, required) < 0);
+	return comparePoints(required, lastLag.missingPosition) >= 0 && (position === undefined || comparePoints(position, required) < 0);
 }
--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -15,7 +15,7 @@
 const now = () => ({steady: performance.now(), wall: Date.now()});
 
 function createInstance(id: string, readStatus: () => string | undefined): InstanceRuntime {
-	const link: PooledConnection = {
+	const connection: PooledConnection = {
 		connection: {
 			send: async () => ({kind: 'lost', reason: ''}),
 			close: () => undefined,
@@ -40,7 +40,7 @@
 			throw new Error('The test reads no health');
 		},
 		pool: {
-			acquire: async () => readStatus() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', connection: link, openMs: 0},
+			acquire: async () => readStatus() === undefined ? {kind: 'unreachable'} : {kind: 'acquired', connection, openMs: 0},
 			release: () => undefined,
 			takeIdle: () => undefined,
 			readLoad: () => ({
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -66,16 +66,16 @@
 	};
 	let isStopping = false;
 
-	const knowledge = createStoreCache({
+	const storeCache = createStoreCache({
 		decodeConfiguration: options.decodeConfiguration,
 		decodeInstance: options.decodeInstance,
 		onFleet(fleet) {
-			control.updateFleet(fleet);
-			rates.updateFleet(fleet);
+			fleetController.updateFleet(fleet);
+			rateLimiter.updateFleet(fleet);
 		},
 		log,
 	});
-	const {findConfiguration, findFleet, listInstances, findConfirmedAt} = knowledge;
+	const {findConfiguration, findFleet, listInstances, findConfirmedAt} = storeCache;
 	const findWorkspace = () => findConfiguration()?.configuration.limits.keys().next().value;
 
 	const findPeer = (name: string): FleetPeer | undefined => {
@@ -90,25 +90,25 @@
 		return peer;
 	};
 
-	const control = createFleetController({
+	const fleetController = createFleetController({
 		own,
 		store,
 		listGateways: instance => gateways.list(instance, undefined),
 		listGroups: () => [...groups.values()],
 		listInstances,
 		isListFresh() {
-			const proof = findConfirmedAt('instances');
-			return proof !== undefined && findElapsed(proof, now()) < maxInstanceListAgeMs;
+			const confirmedAt = findConfirmedAt('instances');
+			return confirmedAt !== undefined && findElapsed(confirmedAt, now()) < maxInstanceListAgeMs;
 		},
 		findPeer,
-		listSilentHosts: () => rates.listSilentHosts(),
+		listSilentHosts: () => rateLimiter.listSilentHosts(),
 		orderPromotion: options.orderPromotion,
 		findWorkspace,
 		now,
 		log,
 	});
 
-	const rates = createRateLimiter({
+	const rateLimiter = createRateLimiter({
 		self: own.name,
 		incarnation: own.incarnation,
 		bound: profile.rateBound,
@@ -143,34 +143,34 @@
 				now,
 				log,
 				findWorkspace,
-				isReading: () => reader.isStoreReader(),
+				isStoreReader: () => tableSync.isStoreReader(),
 			});
 			groups.set(name, group);
 			group.updateInstances(listInstances().filter(entry => entry.group === name), findConnectionLimit(cap, countGateways()));
-			if (control.isRegistered()) {
+			if (fleetController.isRegistered()) {
 				group.setRegistered();
 			}
 
-			const proof = findConfirmedAt('fleet');
-			if (proof !== undefined) {
-				group.updateRow(findFleet()?.groups.get(name), proof);
+			const confirmedAt = findConfirmedAt('fleet');
+			if (confirmedAt !== undefined) {
+				group.updateRow(findFleet()?.groups.get(name), confirmedAt);
 			}
 		}
 	};
 
 	const takeTable = (table: StoreTable, newer: CachedTable) => {
-		knowledge.updateTable(table, newer);
+		storeCache.updateTable(table, newer);
 		updateGroups();
 	};
 
-	const reader = createTableSync({
+	const tableSync = createTableSync({
 		self: own.name,
 		zone: own.zone,
 		store,
 		listHosts: () => [...findFleet()?.hosts.values() ?? []],
 		findPeer,
 		isFirstStart: profile.isFirstStart,
-		register: control.register,
+		register: fleetController.register,
 		onTable: takeTable,
 		listPositions: () => [...groups.values()].map(group => group.findNewestPosition()).filter(position => position !== undefined),
 		onPositions(positions, from) {
@@ -183,8 +183,8 @@
 	});
 
 	const tick = () => {
-		control.step();
-		rates.step();
+		fleetController.step();
+		rateLimiter.step();
 		for (const group of groups.values()) {
 			void group.step();
 		}
@@ -206,7 +206,7 @@
 		findAccess: findCallerAccess,
 		transactionIdleLimit: () => findConfiguration()?.configuration.transactionIdleLimit ?? 0,
 		findGroup: name => groups.get(name),
-		takeOperation: rates.takeOperation,
+		takeOperation: rateLimiter.takeOperation,
 		onAnswered: options.onAnswered,
 		log,
 	};
@@ -217,12 +217,12 @@
 
 	return {
 		openSession: registry.openSession,
-		isReady: () => !isStopping && findConfiguration() !== undefined && listInstances().length > 0 && control.isRegistered(),
+		isReady: () => !isStopping && findConfiguration() !== undefined && listInstances().length > 0 && fleetController.isRegistered(),
 		peer: {
-			readTables: reader.readTables,
-			claimRates: rates.claimRates,
-			fenceGroup: control.fenceGroup,
-			confirmSilence: control.confirmSilence,
+			readTables: tableSync.readTables,
+			claimRates: rateLimiter.claimRates,
+			fenceGroup: fleetController.fenceGroup,
+			confirmSilence: fleetController.confirmSilence,
 			runJob: gateway.runJob,
 			ping: async () => true,
 		},
@@ -231,9 +231,9 @@
 			gateway.close();
 			log.info({sessions: registry.count(), foreign: gateway.countActive()}, 'host: The host is stopping; it accepts no new callers.');
 			await registry.stop(stopAccepting);
-			await Promise.race([control.leave(), sleep(deregisterTimeoutMs)]);
+			await Promise.race([fleetController.leave(), sleep(deregisterTimeoutMs)]);
 			clearInterval(timer);
-			reader.stop();
+			tableSync.stop();
 			log.info({}, 'host: The host has stopped.');
 		},
 	};
