--- a/packages/sessions/admit-log-line.ts
+++ b/packages/sessions/admit-log-line.ts
@@ -5,7 +5,7 @@
 	readonly isDebug: boolean;
 	/** Whether the output has too many bytes buffered, because its reader is slow. */
 	readonly isOutputFull: boolean;
-	/** Current time in steady milliseconds. */
+	/** Current time in milliseconds of the steady clock. */
 	readonly now: number;
 };
 
--- a/packages/sessions/apply-grant.ts
+++ b/packages/sessions/apply-grant.ts
@@ -9,7 +9,7 @@
 	/** Lifetime in milliseconds, counted from `requestedAt`. */
 	readonly spanMs: number;
 	readonly requestedAt: Instant;
-	/** Steady milliseconds. */
+	/** Milliseconds of the steady clock. */
 	readonly now: number;
 };
 
--- a/packages/sessions/apply-observation.test.ts
+++ b/packages/sessions/apply-observation.test.ts
@@ -35,7 +35,7 @@
 	] as const;
 	for (const {name, health, seen, expected} of cases) {
 		it(name, () => {
-			expect(applyObservation(health, {seen, now: 600})).to.deep.include(expected);
+			expect(applyObservation(health, {observation: seen, now: 600})).to.deep.include(expected);
 		});
 	}
 });
--- a/packages/sessions/apply-observation.ts
+++ b/packages/sessions/apply-observation.ts
@@ -20,8 +20,8 @@
 const probeMs = 800;
 
 /** Updates the health of an instance by an observation; `now` is in milliseconds of the steady clock. */
-export function applyObservation(health: InstanceHealth, {seen, now}: {readonly seen: Observation; readonly now: number}): InstanceHealth {
-	switch (seen.kind) {
+export function applyObservation(health: InstanceHealth, {observation, now}: {readonly observation: Observation; readonly now: number}): InstanceHealth {
+	switch (observation.kind) {
 		case 'sent': {
 			return {
 				...health,
@@ -34,17 +34,17 @@
 		case 'answered': {
 			return {
 				...health,
-				latency: seen.latency === undefined ? health.latency : (health.latency * (1 - latencyWeight)) + (seen.latency * latencyWeight),
+				latency: observation.latency === undefined ? health.latency : (health.latency * (1 - latencyWeight)) + (observation.latency * latencyWeight),
 				lastAnswerAt: now,
 				unansweredSince: undefined,
 				avoidedUntil: 0,
 				failures: 0,
-				position: findNewer(health.position, seen.position),
+				position: findNewer(health.position, observation.position),
 			};
 		}
 
 		case 'lagging': {
-			return {...health, lastLag: {at: now, missingPosition: seen.missingPosition}};
+			return {...health, lastLag: {at: now, missingPosition: observation.missingPosition}};
 		}
 
 		case 'failed': {
--- a/packages/sessions/apply-setup.test.ts
+++ b/packages/sessions/apply-setup.test.ts
@@ -17,7 +17,7 @@
 		const answer = new Promise<InstanceAnswer>(resolve => {
 			setTimeout(resolve, 2 * soon, {kind: 'lost', reason: ''});
 		});
-		const pooled = {values: new Map(), prepared: new Map<string, string>()} as unknown as PooledConnection;
+		const pooled = {variables: new Map(), prepared: new Map<string, string>()} as unknown as PooledConnection;
 		const startedAt = performance.now();
 		expect(await applySetup(pooled, {
 			setup: {variables: new Map(), prepared: new Map([['s', read]])}, prepared: 's', isInTransaction: false, send: async () => answer,
@@ -57,7 +57,7 @@
 	} of cases as ReadonlyArray<{name: string; held: Values; wanted: Values; sent: readonly string[]; isInTransaction?: boolean; prepared?: string; isFailing?: boolean; isReady?: boolean}>) {
 		it(name, async () => {
 			const requests: string[] = [];
-			const pooled = {values: new Map(held), prepared: new Map<string, string>()} as unknown as PooledConnection;
+			const pooled = {variables: new Map(held), prepared: new Map<string, string>()} as unknown as PooledConnection;
 			const outcome = await applySetup(pooled, {
 				setup: {variables: new Map(wanted), prepared: new Map([['s', read]])},
 				prepared,
--- a/packages/sessions/apply-setup.ts
+++ b/packages/sessions/apply-setup.ts
@@ -23,24 +23,24 @@
  * this name.
  */
 export async function applySetup(pooled: PooledConnection, {setup, prepared, isInTransaction, send}: Options): Promise<boolean> {
-	const hasForeignVariables = [...pooled.values.keys()].some(name => !setup.variables.has(name));
+	const hasForeignVariables = [...pooled.variables.keys()].some(name => !setup.variables.has(name));
 	if (hasForeignVariables && !isInTransaction) {
 		if (!hasSucceeded(await send({kind: 'reset'}))) {
 			return false;
 		}
 
-		pooled.values.clear();
+		pooled.variables.clear();
 		pooled.prepared.clear();
 	}
 
-	const outdated = [...setup.variables].filter(([name, value]) => pooled.values.get(name) !== value);
+	const outdated = [...setup.variables].filter(([name, value]) => pooled.variables.get(name) !== value);
 	const answers = await Promise.all(outdated.map(async ([name, value]) => send({kind: 'set', name, value})));
 	if (!answers.every(answer => hasSucceeded(answer))) {
 		return false;
 	}
 
 	for (const [name, value] of outdated) {
-		pooled.values.set(name, value);
+		pooled.variables.set(name, value);
 	}
 
 	return prepared === undefined || ensurePrepared(pooled, {setup, prepared, send});
--- a/packages/sessions/assign-rates.ts
+++ b/packages/sessions/assign-rates.ts
@@ -19,7 +19,7 @@
 	readonly spanMs: number;
 	/** Milliseconds after which all shares that an earlier allocator granted have expired. */
 	readonly handoverMs: number;
-	/** Steady milliseconds. */
+	/** Milliseconds of the steady clock. */
 	readonly now: number;
 };
 
--- a/packages/sessions/create-fleet-controller.ts
+++ b/packages/sessions/create-fleet-controller.ts
@@ -157,7 +157,7 @@
 
 	/**
 	 * Removes silent hosts from the store in two steps: a host that is marked as gone gets no further leases, and its row
-	 * is dropped once the leases that it may still hold have expired.
+	 * is deleted once the leases that it may still hold have expired.
 	 */
 	const removeSilentHosts = async () => {
 		const at = now().steady;
@@ -179,7 +179,7 @@
 		}
 	};
 
-	/** Whether this host drops the rows of gone hosts: the allocator of rate partition 0, so that only one host does. */
+	/** Whether this host deletes the rows of gone hosts: the allocator of rate partition 0, so that only one host does. */
 	const isRemover = () => fleet?.rateAllocators.get(0)?.holder === own.name;
 
 	const changeHost = async ({version, name}: Versioned<HostRow>, value: HostRow | undefined) => {
@@ -188,7 +188,7 @@
 			expected: new Map([[key, version]]),
 			values: new Map([[key, value && JSON.stringify({...value, version: undefined})]]),
 		});
-		log.info({name, isDropped: value === undefined, outcome: outcome.kind}, 'host: The host tried to mark a silent host as gone in the store, or to drop its row.');
+		log.info({name, isDropped: value === undefined, outcome: outcome.kind}, 'host: The host tried to mark a silent host as gone in the store, or to delete its row.');
 	};
 
 	const listRecentHosts = () => [...seenHosts.values()]
--- a/packages/sessions/create-gateway.test.ts
+++ b/packages/sessions/create-gateway.test.ts
@@ -9,17 +9,17 @@
 const base = {
 	workspace: 'upper', priority: 1, caller: {database: 'ponds', keyDigest: ''}, timeout: 500, setup: {variables: new Map(), prepared: new Map()},
 };
-const work = {
+const query = {
 	id: '1', text: 'READ a', access: 'read', execute: undefined,
 } as const;
 const single: Job = {
-	...base, kind: 'single', query: work, after: undefined,
+	...base, kind: 'single', query, after: undefined,
 };
 const begin: Job = {
 	...base, kind: 'begin', isReadOnly: false, after: undefined, idleLimit: 1000,
 };
 const within: Job = {
-	...base, kind: 'within', transaction: 5, query: work,
+	...base, kind: 'within', transaction: 5, query,
 };
 const done: JobAnswer = {
 	kind: 'answered', outcome: {kind: 'done', rows: [], signature: '7'}, state: 'idle', position: undefined,
--- a/packages/sessions/create-gateways.ts
+++ b/packages/sessions/create-gateways.ts
@@ -13,11 +13,11 @@
 	readonly countGateways: () => number;
 	/** Whether the connection limit of a group lets each gateway hold a connection for every workspace. */
 	readonly hasConnectionPerWorkspace: (group: string) => boolean;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current time of the steady clock in milliseconds. */
 	readonly now: () => number;
 };
 
-/** Reachability of another host; times in monotonic milliseconds. */
+/** Reachability of another host; times in milliseconds of the steady clock. */
 type Reachability = {
 	lastAnswerAt: number;
 	avoidedUntil: number;
--- a/packages/sessions/create-instance-pool.ts
+++ b/packages/sessions/create-instance-pool.ts
@@ -11,7 +11,7 @@
 	readonly open: (workspace: string) => Promise<OpenConnectionOutcome>;
 	/** Maximum number of connections. */
 	readonly limit: number;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current time of the steady clock in milliseconds. */
 	readonly now: () => number;
 };
 
@@ -79,7 +79,7 @@
 		}
 
 		const pooled: PooledConnection = {
-			connection: outcome.connection, workspace, values: new Map(), prepared: new Map(), isBusy: true, idleSince: 0,
+			connection: outcome.connection, workspace, variables: new Map(), prepared: new Map(), isBusy: true, idleSince: 0,
 		};
 		connections.add(pooled);
 		return {kind: 'acquired', connection: pooled, openMs: options.now() - startedAt};
--- a/packages/sessions/create-instance-runtime.ts
+++ b/packages/sessions/create-instance-runtime.ts
@@ -16,7 +16,7 @@
 	readonly gateways: Gateways;
 	/** Maximum number of this host's connections to the instance. */
 	readonly limit: number;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current time of the steady clock in milliseconds. */
 	readonly now: () => number;
 };
 
@@ -35,8 +35,8 @@
 		latency: initialLatencyMs, lastAnswerAt: now(), unansweredSince: undefined, avoidedUntil: 0, failures: 0, position: undefined, lastLag: undefined,
 	};
 
-	const recordObservation = (seen: Parameters<typeof applyObservation>[1]['seen']) => {
-		health = applyObservation(health, {seen, now: now()});
+	const recordObservation = (observation: Parameters<typeof applyObservation>[1]['observation']) => {
+		health = applyObservation(health, {observation, now: now()});
 	};
 
 	const pool = createInstancePool({
--- a/packages/sessions/create-job-timer.ts
+++ b/packages/sessions/create-job-timer.ts
@@ -4,7 +4,7 @@
 type JobTimer = {
 	/** Records that a connection was acquired, and how many milliseconds were spent on opening it. */
 	readonly recordAcquired: (openMs: number) => void;
-	/** Records that the session's values are set on the connection, and that the work is being sent. */
+	/** Records that the session's variables are set on the connection, and that the work is being sent. */
 	readonly recordSent: () => void;
 	/** Returns the phases once the answer has come; `way` is 0, as only the sending host can measure it. */
 	readonly finish: () => JobSpans;
@@ -13,7 +13,7 @@
 /**
  * Creates the timer of a job that starts now.
  *
- * @param now Returns the monotonic time in milliseconds.
+ * @param now Returns the current time of the steady clock in milliseconds.
  */
 export function createJobTimer(now: () => number): JobTimer {
 	const startedAt = now();
--- a/packages/sessions/create-local-runner.ts
+++ b/packages/sessions/create-local-runner.ts
@@ -14,7 +14,7 @@
 	readonly send: InstanceRuntime['send'];
 	/** Returns the smoothed statement latency of the instance in milliseconds. */
 	readonly latency: () => number;
-	/** Returns the monotonic time in milliseconds. */
+	/** Returns the current time of the steady clock in milliseconds. */
 	readonly now: () => number;
 };
 
@@ -210,7 +210,7 @@
 		}
 
 		const answer = await send(pooled, {kind: 'reset'}, positionTimeoutMs);
-		pooled.values.clear();
+		pooled.variables.clear();
 		pooled.prepared.clear();
 		pool.release(pooled, isClean(answer, pooled) && answer.kind === 'answered' && answer.outcome.kind === 'done');
 		return answer;
--- a/packages/sessions/create-partition-limiter.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -68,14 +68,14 @@
 export function createPartitionLimiter(options: Options): RateLimiter {
 	const {self, partition, incarnation, now, log} = options;
 	let fleet: FleetRows | undefined;
-	/** Steady milliseconds at which the fleet's rows were first known. */
+	/** When the fleet's rows first became known, in milliseconds of the steady clock. */
 	let fleetKnownSince: number | undefined;
 	let claimedAt = Number.NEGATIVE_INFINITY;
 	/** Epoch of the rate allocator that answered last. */
 	let answeredEpoch = 0;
-	/** Steady milliseconds of the first claim that the rate allocator has not answered; undefined after an answer. */
+	/** When the first unanswered claim was sent, in milliseconds of the steady clock; undefined after an answer. */
 	let unansweredSince: number | undefined;
-	/** Steady milliseconds of the last answered claim. */
+	/** When a claim was last answered, in milliseconds of the steady clock. */
 	let lastAnswerAt = Number.NEGATIVE_INFINITY;
 	let isBusy = false;
 	let hasRefused = false;
--- a/packages/sessions/create-routed-runner.ts
+++ b/packages/sessions/create-routed-runner.ts
@@ -15,8 +15,8 @@
 	/** Runs jobs on this host's own connections to the instance. */
 	readonly local: JobRunner;
 	readonly gateways: Gateways;
-	readonly recordObservation: (seen: Parameters<typeof applyObservation>[1]['seen']) => void;
-	/** Returns the monotonic time in milliseconds. */
+	readonly recordObservation: (observation: Parameters<typeof applyObservation>[1]['observation']) => void;
+	/** Returns the current time of the steady clock in milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -47,7 +47,7 @@
 	const instances = new Map<string, InstanceRuntime>();
 	/** Called when the primary may have changed. */
 	const waiters = new Set<() => void>();
-	/** Instances that the platform no longer lists, with the monotonic milliseconds since when. */
+	/** Instances that the platform no longer lists, and since when, in milliseconds of the steady clock. */
 	const missing = new Map<string, number>();
 	let row: Versioned<GroupRow> | undefined;
 	let confirmedAt: Instant | undefined;
@@ -61,7 +61,7 @@
 	let samples: readonly PositionSample[] = [];
 	/** Whether a position query is in flight. */
 	let isSampling = false;
-	/** When a caller last requested a read that a replica may serve, in monotonic milliseconds. */
+	/** When a caller last requested a read that a replica may serve, in milliseconds of the steady clock. */
 	let replicaReadAt = Number.NEGATIVE_INFINITY;
 
 	const primary = () => findPrimary({
@@ -158,10 +158,10 @@
 			.filter(instance => instance !== undefined);
 	};
 
-	const recordAnswer: SessionGroup['recordAnswer'] = (instance, answer, asked) => {
-		const isSample = answer.kind === 'answered' && instance === row?.primary && asked.epoch === row.epoch && row.state === 'serving';
+	const recordAnswer: SessionGroup['recordAnswer'] = (instance, answer, request) => {
+		const isSample = answer.kind === 'answered' && instance === row?.primary && request.epoch === row.epoch && row.state === 'serving';
 		if (isSample && answer.position !== undefined) {
-			samples = addPositionSample(samples, {requestedAt: asked.at, position: answer.position});
+			samples = addPositionSample(samples, {requestedAt: request.at, position: answer.position});
 		}
 	};
 
--- a/packages/sessions/create-store-follower.ts
+++ b/packages/sessions/create-store-follower.ts
@@ -20,7 +20,7 @@
 	/** Starts following all tables; does nothing if it has already been started. */
 	readonly start: () => void;
 	readonly stop: () => void;
-	/** Steady milliseconds at which following started; undefined while stopped. */
+	/** When following started, in milliseconds of the steady clock; undefined while stopped. */
 	readonly followedSince: () => number | undefined;
 };
 
--- a/packages/sessions/create-table-sync.test.ts
+++ b/packages/sessions/create-table-sync.test.ts
@@ -86,9 +86,9 @@
 			isFirstStart: false,
 			store: store.open(name),
 			listHosts: () => hosts,
-			findPeer: host => createPeer(async (asked, wait) => {
+			findPeer: host => createPeer(async (requested, wait) => {
 				await sleep(1);
-				const answer = isReachable(name, host) ? tableSyncs.get(host)?.readTables(asked, wait) : undefined;
+				const answer = isReachable(name, host) ? tableSyncs.get(host)?.readTables(requested, wait) : undefined;
 				const first = await Promise.race([answer, sleep(callTimeoutMs + wait, undefined)]);
 				return isReachable(name, host) ? first : undefined;
 			}),
--- a/packages/sessions/create-table-sync.ts
+++ b/packages/sessions/create-table-sync.ts
@@ -1,6 +1,6 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- steps run one after another */
 import {setTimeout as sleep} from 'node:timers/promises';
-import type {AskedTable} from './asked-table.ts';
+import type {RequestedTable} from './requested-table.ts';
 import {createTableUpdate} from './create-table-update.ts';
 import {createSourceSelector} from './create-source-selector.ts';
 import {createStoreFollower} from './create-store-follower.ts';
@@ -43,7 +43,7 @@
 /** Milliseconds between two requests to a source, and between two choices of a source. */
 const stepIntervalMs = 100;
 
-/** Staleness in milliseconds, by table, at which a host that is asked for its tables starts to read the store. */
+/** Staleness in milliseconds, by table, at which a host that another host requests tables from starts to read the store. */
 const readThresholdsMs = {configuration: 1400, fleet: 1400, instances: 6000} as const satisfies Record<StoreTable, number>;
 
 /** Maximum staleness in milliseconds, by table, of a source's tables; the host changes its source beyond it. */
@@ -58,10 +58,10 @@
 /** Milliseconds after the first start of the fleet during which a host waits for its source instead of reading the store in its place. */
 const bootstrapTimeoutMs = 2500;
 
-/** Milliseconds after which a store reader must have recent tables. A host that is asked for tables answers then with those it has. */
+/** Milliseconds after which a store reader must have recent tables. After that, a host answers requests of other hosts with the tables that it has. */
 const readTimeoutMs = 250;
 
-type TableRequest = ReadonlyMap<StoreTable, AskedTable>;
+type TableRequest = ReadonlyMap<StoreTable, RequestedTable>;
 
 const tables: readonly StoreTable[] = ['configuration', 'fleet', 'instances'];
 
@@ -85,18 +85,18 @@
 	/** Whether the fleet is starting for the first time and the store readers may not have any tables yet. */
 	const isBootstrapping = () => options.isFirstStart && !hasSynchronized && now().steady - startedAt < bootstrapTimeoutMs;
 
-	/** Finds the steady milliseconds at which a store reader must have recent tables. */
+	/** Finds the time at which a store reader must have recent tables, in milliseconds of the steady clock. */
 	const findReadDeadline = () => (follower.followedSince() ?? now().steady) + readTimeoutMs;
 
-	const hasNewRows = (asked: TableRequest) => cache.listTables().some(([table, {mark}]) => !isSameMark(asked.get(table)?.mark, mark));
+	const hasNewRows = (requested: TableRequest) => cache.listTables().some(([table, {mark}]) => !isSameMark(requested.get(table)?.mark, mark));
 
 	/** Waits until there is something new for the requesting host, at most `wait` milliseconds; reads the store if the cached tables are stale. */
-	const waitForChanges = async (asked: TableRequest, wait: number) => {
+	const waitForChanges = async (requested: TableRequest, wait: number) => {
 		const requestedAt = now().steady;
 		let deadline = requestedAt + wait;
-		while (!hasNewRows(asked)) {
+		while (!hasNewRows(requested)) {
 			const at = now().steady;
-			const renewal = findRenewal({asked, waited: at - requestedAt, ages: cache.listAges()});
+			const renewal = findRenewal({requested, waited: at - requestedAt, ages: cache.listAges()});
 			if (renewal === 'all') {
 				return;
 			}
@@ -124,14 +124,14 @@
 	const poll = async (source: string): Promise<boolean> => {
 		const sentAt = now();
 		const ages = cache.listAges();
-		const asked: TableRequest = new Map(cache.listTables().map(([table, {mark}]) => [table, {mark: incompleteTables.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
+		const requested: TableRequest = new Map(cache.listTables().map(([table, {mark}]) => [table, {mark: incompleteTables.has(table) ? undefined : mark, age: ages.get(table) ?? 0}]));
 		const wait = Math.max(pollWaitsMs.min, Math.min(pollWaitsMs.max, cache.findFreshRemaining(readThresholdsMs)));
-		const answer = await options.findPeer(source)?.readTables(asked, wait);
+		const answer = await options.findPeer(source)?.readTables(requested, wait);
 		if (answer === undefined) {
 			return false;
 		}
 
-		// The other host received the request no earlier than `sentAt` and then waited for `waited` milliseconds before it answered.
+		// The other host received the request no earlier than `sentAt` and then waited for `waitedMs` milliseconds before it answered.
 		const earliestAnswerAt = {steady: sentAt.steady + answer.waitedMs, wall: sentAt.wall + answer.waitedMs};
 		for (const update of answer.tables) {
 			const cached = cache.findTable(update.table);
@@ -220,13 +220,13 @@
 
 	void run();
 	return {
-		async readTables(asked, wait) {
+		async readTables(requested, wait) {
 			const requestedAt = now();
-			await waitForChanges(asked, wait);
+			await waitForChanges(requested, wait);
 			const at = now();
 			return {
 				waitedMs: Math.max(0, at.steady - requestedAt.steady),
-				tables: cache.listTables().map(([table, cached]) => createTableUpdate(table, {cached, asked: asked.get(table), now: at})),
+				tables: cache.listTables().map(([table, cached]) => createTableUpdate(table, {cached, requested: requested.get(table), now: at})),
 				positions: options.listPositions(),
 			};
 		},
--- a/packages/sessions/create-table-update.ts
+++ b/packages/sessions/create-table-update.ts
@@ -1,4 +1,4 @@
-import type {AskedTable} from './asked-table.ts';
+import type {RequestedTable} from './requested-table.ts';
 import {findElapsed} from './find-elapsed.ts';
 import type {Instant} from './instant.ts';
 import type {CachedTable} from './cached-table.ts';
@@ -7,13 +7,13 @@
 
 type Options = {
 	readonly cached: CachedTable;
-	readonly asked: AskedTable | undefined;
+	readonly requested: RequestedTable | undefined;
 	readonly now: Instant;
 };
 
 /** Creates the update of a table for another host: the rows newer than those it has, or all rows if it has no mark. */
-export function createTableUpdate(table: StoreTable, {cached, asked, now}: Options): TableUpdate {
-	const newest = asked?.mark?.newest ?? -1;
+export function createTableUpdate(table: StoreTable, {cached, requested, now}: Options): TableUpdate {
+	const newest = requested?.mark?.newest ?? -1;
 	const {rows, version, mark, confirmedAt, reader} = cached;
 	return {
 		table,
@@ -21,7 +21,7 @@
 		mark,
 		age: findElapsed(confirmedAt, now),
 		reader,
-		isWhole: asked?.mark === undefined,
+		isWhole: requested?.mark === undefined,
 		rows: [...rows.values()].filter(row => row.version > newest),
 	};
 }
--- a/packages/sessions/create-token-queue.ts
+++ b/packages/sessions/create-token-queue.ts
@@ -30,7 +30,7 @@
 	const pending = new Map<string, Promise<unknown>>();
 	/** Number of callers that wait for the next request, by workspace. */
 	const waiting = new Map<string, number>();
-	/** End of the backoff after an empty pool, in steady milliseconds, by workspace. */
+	/** End of the backoff after an empty pool, in milliseconds of the steady clock, by workspace. */
 	const backoffUntil = new Map<string, number>();
 
 	const isPoolEmpty = (workspace: string) => (backoffUntil.get(workspace) ?? 0) > now().steady;
--- a/packages/sessions/find-access.test.ts
+++ b/packages/sessions/find-access.test.ts
@@ -30,7 +30,7 @@
 			name: 'refuses an unknown database', database: 'lakes', key: 'good', now: 100, expected: 'noDatabase',
 		},
 		{
-			name: 'allows a key until shortly before a withdrawal must take effect', database: 'ponds', key: 'good', now: 4599, expected: 'upper',
+			name: 'allows a key until shortly before a revocation must take effect', database: 'ponds', key: 'good', now: 4599, expected: 'upper',
 		},
 		{
 			name: 'refuses a key that may have been withdrawn', database: 'ponds', key: 'good', now: 4600, expected: 'busy',
--- a/packages/sessions/find-access.ts
+++ b/packages/sessions/find-access.ts
@@ -5,7 +5,7 @@
 import type {CachedConfiguration} from './cached-configuration.ts';
 
 type Options = Caller & {
-	/** Milliseconds within which a withdrawn key must stop working. */
+	/** Milliseconds within which a revoked key must stop working. */
 	readonly revocationLimitMs: number;
 	/** Milliseconds within which every host must know a new route or key. */
 	readonly configurationLimitMs: number;
@@ -24,7 +24,7 @@
 /**
  * Finds whether a caller may use a database now.
  *
- * A key is accepted only while the configuration is recent enough that a withdrawal of the key cannot be overdue. An
+ * A key is accepted only while the configuration is recent enough that a revocation of the key cannot have gone unnoticed beyond its limit. An
  * unknown route or key may have been added lately, so it is refused as unknown only if the configuration is recent
  * enough, and as `busy` otherwise.
  */
--- a/packages/sessions/find-failover-rank.ts
+++ b/packages/sessions/find-failover-rank.ts
@@ -25,9 +25,9 @@
  * replace them meanwhile.
  */
 export function findFailoverRank({
-	self, zone, hosts, gateways, hasFailoverLock: isHoldingDuty,
+	self, zone, hosts, gateways, hasFailoverLock,
 }: Options): number {
-	if (isHoldingDuty) {
+	if (hasFailoverLock) {
 		return 0;
 	}
 
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -1,4 +1,4 @@
-import type {AskedTable} from './asked-table.ts';
+import type {RequestedTable} from './requested-table.ts';
 import type {JobAnswer} from './job-answer.ts';
 import type {Job} from './job.ts';
 import type {PrimaryPosition} from './primary-position.ts';
@@ -40,7 +40,7 @@
 	 *
 	 * The other host answers when rows change or the store confirms its tables again, and after `waitMs` milliseconds at the latest.
 	 */
-	readonly readTables: (requested: ReadonlyMap<StoreTable, AskedTable>, waitMs: number) => Promise<PeerTables | undefined>;
+	readonly readTables: (requested: ReadonlyMap<StoreTable, RequestedTable>, waitMs: number) => Promise<PeerTables | undefined>;
 	/** Claims shares of the workspaces' rates; `notAllocator` when the other host is not the rate allocator. */
 	readonly claimRates: (claims: Claims) => Promise<Shares | 'notAllocator' | undefined>;
 	/** Asks the host to release its lease on the primary of a group from before an epoch; resolves to true once it has. */
--- a/packages/sessions/follow-table.ts
+++ b/packages/sessions/follow-table.ts
@@ -1,4 +1,4 @@
-/* eslint-disable no-await-in-loop -- the steps follow each other */
+/* eslint-disable no-await-in-loop -- calls run one after another */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {findElapsed} from './find-elapsed.ts';
 import {findConfirmedAt} from './find-confirmed-at.ts';
@@ -16,7 +16,7 @@
 	readonly table: StoreTable;
 	/** Name of this host, recorded as the reader of the table. */
 	readonly reader: string;
-	/** Returns the milliseconds that a call may wait for changes; `now` is in steady milliseconds. */
+	/** Returns the milliseconds that a call may wait for changes; `now` is in milliseconds of the steady clock. */
 	readonly findWait: (now: number) => number;
 	readonly now: () => Instant;
 	/** Cached table to continue from; undefined to read the whole table first. */
--- a/packages/sessions/host-row.ts
+++ b/packages/sessions/host-row.ts
@@ -6,6 +6,6 @@
 	readonly address: string;
 	/** Differs at each start of the process. */
 	readonly incarnation: number;
-	/** Whether the host has been silent for long and is being removed; until its row is dropped it may still hold leases. */
+	/** Whether the host has been silent for long and is being removed; until its row is deleted it may still hold leases. */
 	readonly isGone?: boolean;
 };
--- a/packages/sessions/instance-pool.ts
+++ b/packages/sessions/instance-pool.ts
@@ -19,7 +19,7 @@
 	readonly takeIdle: () => PooledConnection | undefined;
 	/** Counts the connections and the waiting requests. */
 	readonly readLoad: () => {readonly busy: number; readonly idle: number; readonly waiting: number; readonly limit: number};
-	/** Closes connections that have been idle since before a time in monotonic milliseconds. */
+	/** Closes connections that have been idle since before a time in milliseconds of the steady clock. */
 	readonly closeIdle: (before: number) => void;
 	readonly setLimit: (limit: number) => void;
 	/** Closes idle connections now, and the others when they are released. */
--- a/packages/sessions/instance-status.ts
+++ b/packages/sessions/instance-status.ts
@@ -5,6 +5,6 @@
 	readonly role: 'primary' | 'replica';
 	/** Newest term that the instance knows. */
 	readonly term: number;
-	/** Last position of the log that the instance has received. */
+	/** End of the log that the instance has received. */
 	readonly received: LogPoint;
 };
--- a/packages/sessions/is-allocated-on-demand.ts
+++ b/packages/sessions/is-allocated-on-demand.ts
@@ -7,7 +7,10 @@
 	readonly demand: number;
 };
 
-/** Operations per second and host. Below this equal share, hosts with less demand than this request each operation instead. */
+/**
+ * Operations per second. If an equal share of the rate is smaller, a host with less demand than this gets no share and
+ * requests each operation instead.
+ */
 const minShare = 5;
 
 /**
--- a/packages/sessions/is-answering.ts
+++ b/packages/sessions/is-answering.ts
@@ -25,7 +25,7 @@
 
 	const {connection: pooled} = acquired;
 	const answer = await instance.send(pooled, {kind: 'reset'}, timeout);
-	pooled.values.clear();
+	pooled.variables.clear();
 	pooled.prepared.clear();
 	instance.pool.release(pooled, answer.kind === 'answered' && answer.state === 'idle');
 	return answer.kind === 'answered';
--- a/packages/sessions/is-position-sample-due.ts
+++ b/packages/sessions/is-position-sample-due.ts
@@ -7,7 +7,7 @@
 	readonly isStoreReader: boolean;
 	/** Whether callers recently sent reads that replicas may serve. */
 	readonly hasReplicaReads: boolean;
-	/** Current time in steady milliseconds. */
+	/** Current time in milliseconds of the steady clock. */
 	readonly now: number;
 };
 
--- a/packages/sessions/job-spans.ts
+++ b/packages/sessions/job-spans.ts
@@ -6,8 +6,8 @@
 	readonly queue: number;
 	/** Opening a connection; 0 if an idle one was reused. */
 	readonly open: number;
-	/** Setting the session's values on the connection. */
+	/** Setting the session's variables on the connection. */
 	readonly setup: number;
-	/** From sending the work to the instance until its answer arrived. */
+	/** From sending the query to the instance until its answer arrived. */
 	readonly instance: number;
 };
--- a/packages/sessions/merge-table-update.test.ts
+++ b/packages/sessions/merge-table-update.test.ts
@@ -33,7 +33,7 @@
 		fc.assert(fc.property(fc.array(change, {maxLength: 12}), fc.array(change, {maxLength: 6}), (before, later) => {
 			const older = createTable(before);
 			const newer = createTable([...before, ...later]);
-			const update = createTableUpdate('fleet', {cached: newer, asked: {mark: older.mark, age: 0}, now});
+			const update = createTableUpdate('fleet', {cached: newer, requested: {mark: older.mark, age: 0}, now});
 			const merged = mergeTableUpdate(update, {cached: older, earliestAnswerAt: now});
 			const isDeleted = [...older.rows.keys()].some(key => !newer.rows.has(key));
 			expect(merged === undefined).to.equal(isDeleted);
@@ -45,13 +45,13 @@
 
 	it('replaces the cached rows by a complete update', () => {
 		const newer = createTable([{key: 'a', isDeleted: false}, {key: 'b', isDeleted: false}, {key: 'a', isDeleted: true}]);
-		const update = createTableUpdate('fleet', {cached: newer, asked: undefined, now});
+		const update = createTableUpdate('fleet', {cached: newer, requested: undefined, now});
 		expect(mergeTableUpdate(update, {cached: createTable([{key: 'a', isDeleted: false}]), earliestAnswerAt: now})?.rows).to.deep.equal(newer.rows);
 	});
 
 	it('keeps the cached rows when the update is empty', () => {
 		const cached = createTable([{key: 'a', isDeleted: false}]);
-		const update = createTableUpdate('fleet', {cached, asked: {mark: cached.mark, age: 900}, now});
+		const update = createTableUpdate('fleet', {cached, requested: {mark: cached.mark, age: 900}, now});
 		expect(update.rows).to.deep.equal([]);
 		expect(mergeTableUpdate(update, {cached, earliestAnswerAt: now})?.rows).to.equal(cached.rows);
 	});
--- a/packages/sessions/merge-table-update.ts
+++ b/packages/sessions/merge-table-update.ts
@@ -14,8 +14,8 @@
 /**
  * Merges another host's update of a table into the cached rows.
  *
- * The age in the update counts from the other host's answer. Counting it from the earliest possible answer instead never
- * makes the rows look newer than they are.
+ * The age in the update counts from the other host's answer. This host does not know that moment and counts from the
+ * earliest possible one, so that the rows never look newer than they are.
  *
  * @returns Undefined if the merged rows do not match the other host's mark. Rows were deleted in that case, and the
  * caller must request all rows.
--- a/packages/sessions/operation.ts
+++ b/packages/sessions/operation.ts
@@ -17,7 +17,7 @@
 	readonly setup: SessionSetup;
 	/** When the statement, or the one that began the transaction, arrived. */
 	readonly arrivedAt: Instant;
-	/** Steady milliseconds by which the current statement must be answered. */
+	/** Time by which the current statement must be answered, in milliseconds of the steady clock. */
 	readonly deadline: number;
 	/** Whether the caller's key is still valid; checked before each send. */
 	readonly isAllowed: () => boolean;
--- a/packages/sessions/pooled-connection.ts
+++ b/packages/sessions/pooled-connection.ts
@@ -4,12 +4,12 @@
 export type PooledConnection = {
 	readonly connection: InstanceConnection;
 	readonly workspace: string;
-	/** Values of the session variables that are set on the connection, by name. */
-	readonly values: Map<string, string>;
+	/** Session variables that are set on the connection, by name. */
+	readonly variables: Map<string, string>;
 	/** Names of the statements that are prepared on the connection, by access and shape (`access shape`). */
 	readonly prepared: Map<string, string>;
 	/** Whether the connection is taken from the pool. */
 	isBusy: boolean;
-	/** When the connection was last released, in monotonic milliseconds. */
+	/** When the connection was last released, in milliseconds of the steady clock. */
 	idleSince: number;
 };
--- a/packages/sessions/position-sample.ts
+++ b/packages/sessions/position-sample.ts
@@ -7,7 +7,7 @@
  * This holds only if the host's lease on the primary was valid at `requestedAt`.
  */
 export type PositionSample = {
-	/** When the host asked the primary. */
+	/** When the host sent the request that the primary answered with the position. */
 	readonly requestedAt: Instant;
 	readonly position: LogPoint;
 };
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -4,7 +4,7 @@
 type Options = {
 	/** Position that the log must have reached. */
 	readonly required: LogPoint;
-	/** Current time in steady milliseconds. */
+	/** Current time in milliseconds of the steady clock. */
 	readonly now: number;
 };
 
--- a/packages/sessions/rate-allocator-state.ts
+++ b/packages/sessions/rate-allocator-state.ts
@@ -4,9 +4,9 @@
 export type RateAllocatorState = {
 	/** Epoch of the allocator's lease; a host uses the shares of one epoch at a time. */
 	readonly epoch: number;
-	/** Steady milliseconds at which this allocator handled its first claim of the epoch. */
+	/** When this allocator handled its first claim of the epoch, in milliseconds of the steady clock. */
 	readonly startedAt: number;
-	/** Steady milliseconds of the last claim, by host. */
+	/** When each host last sent a claim, in milliseconds of the steady clock. */
 	readonly lastClaimAt: ReadonlyMap<string, number>;
 	/** Pools of unassigned operations, by workspace. */
 	readonly pools: ReadonlyMap<string, TokenBucket>;
@@ -18,10 +18,10 @@
 type Holding = {
 	/** Granted operations per second. */
 	readonly rate: number;
-	/** Steady milliseconds at which the share expires. */
+	/** When the share expires, in milliseconds of the steady clock. */
 	readonly expiresAt: number;
 	/** Operations per second that callers request at the host. */
 	readonly demand: number;
-	/** Steady milliseconds at which the host reported the demand. */
+	/** When the host reported the demand, in milliseconds of the steady clock. */
 	readonly claimedAt: number;
 };
--- a/packages/sessions/rate-limiter.ts
+++ b/packages/sessions/rate-limiter.ts
@@ -7,7 +7,7 @@
 	readonly takeOperation: (workspace: string) => Promise<{readonly isTaken: boolean; readonly retryAfter: number}>;
 	/** Answers the claims of a host if this host is the rate allocator, otherwise `notAllocator`. */
 	readonly claimRates: FleetPeer['claimRates'];
-	/** Registered hosts that have sent no claim for 10 s; empty unless this host is the rate allocator of partition 0. */
+	/** Registered hosts that have sent no claim for long; empty unless this host is the rate allocator of partition 0. */
 	readonly listSilentHosts: () => readonly string[];
 	/** Applies the fleet's rows, which name the rate allocators. */
 	readonly updateFleet: (fleet: FleetRows) => void;
--- a/packages/sessions/replace-primary.test.ts
+++ b/packages/sessions/replace-primary.test.ts
@@ -22,7 +22,7 @@
 			isClosed: () => false,
 		},
 		workspace: 'upper',
-		values: new Map(),
+		variables: new Map(),
 		prepared: new Map(),
 		isBusy: true,
 		idleSince: 0,
--- a/packages/sessions/session-group.ts
+++ b/packages/sessions/session-group.ts
@@ -20,9 +20,9 @@
 	readonly setRegistered: () => void;
 	/** Stops using the primary of every epoch before this one at once, because it is being replaced. */
 	readonly fence: (epoch: number) => void;
-	/** When this host learned that the primary is being replaced, in monotonic milliseconds; undefined if it is not. */
+	/** When this host learned that the primary is being replaced, in milliseconds of the steady clock; undefined if it is not. */
 	readonly fencedAt: () => number | undefined;
-	/** Since when the platform has not listed an instance, in monotonic milliseconds; undefined if it is listed. */
+	/** Since when the platform has not listed an instance, in milliseconds of the steady clock; undefined if it is listed. */
 	readonly missingSince: (id: string) => number | undefined;
 	/** Returns whether the primary may be used now, and which instance it is. */
 	readonly primary: () => PrimaryView;
@@ -35,7 +35,7 @@
 	/** Lists the instances that may serve a read, best first. */
 	readonly listReaders: (required: LogPoint) => readonly InstanceRuntime[];
 	/** Records the position in an answer of the primary; answers of other instances and of other epochs are ignored. */
-	readonly recordAnswer: (instance: string, answer: InstanceAnswer, asked: {readonly at: Instant; readonly epoch: number}) => void;
+	readonly recordAnswer: (instance: string, answer: InstanceAnswer, request: {readonly at: Instant; readonly epoch: number}) => void;
 	/** Finds the newest known position of the primary's log. */
 	readonly findNewestPosition: () => PrimaryPosition | undefined;
 	/** Records a position that another host reported; its age counts from the time `from`. */
--- a/packages/sessions/share-state.ts
+++ b/packages/sessions/share-state.ts
@@ -10,10 +10,10 @@
 	readonly spanMs: number;
 	/** Operations that may run now; may be fractional. */
 	readonly tokens: number;
-	/** Steady milliseconds at which `tokens` was last updated. */
+	/** When `tokens` was last updated, in milliseconds of the steady clock. */
 	readonly refilledAt: number;
 	/** Operations per second that callers request, exponentially smoothed. */
 	readonly demand: number;
-	/** Steady milliseconds at which `demand` was last updated. */
+	/** When `demand` was last updated, in milliseconds of the steady clock. */
 	readonly demandAt: number;
 };
--- a/packages/sessions/start-session-host.ts
+++ b/packages/sessions/start-session-host.ts
@@ -158,7 +158,7 @@
 		}
 	};
 
-	const takeTable = (table: StoreTable, newer: CachedTable) => {
+	const updateTable = (table: StoreTable, newer: CachedTable) => {
 		storeCache.updateTable(table, newer);
 		updateGroups();
 	};
@@ -171,7 +171,7 @@
 		findPeer,
 		isFirstStart: profile.isFirstStart,
 		register: fleetController.register,
-		onTable: takeTable,
+		onTable: updateTable,
 		listPositions: () => [...groups.values()].map(group => group.findNewestPosition()).filter(position => position !== undefined),
 		onPositions(positions, from) {
 			for (const position of positions) {
