--- a/packages/sessions/assign-rates.test.ts
+++ b/packages/sessions/assign-rates.test.ts
@@ -54,7 +54,7 @@
 		return outcome.isTaken;
 	};
 
-	const ask = (host: string, now: number) => {
+	const claimShare = (host: string, now: number) => {
 		const at = {steady: now, wall: now};
 		const share = shares.get(host) ?? createShareState(at);
 		const held = findHeldRate(share, at);
@@ -80,7 +80,7 @@
 		const host = registered[Math.floor(nextRandom() * hostCount)] ?? '';
 		let isTaken = take(host, now, true);
 		if (!isTaken) {
-			ask(host, now);
+			claimShare(host, now);
 			isTaken = take(host, now, false);
 		}
 
--- a/packages/sessions/create-partition-limiter.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -204,7 +204,7 @@
 		updateFleet(newer) {
 			const row = newer.rateAllocators.get(partition);
 			if (row?.epoch !== findRow()?.epoch) {
-				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The lease of the rate allocator has another holder or epoch.');
+				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The lease of the rate allocator changed its holder or epoch.');
 				unansweredSince = undefined;
 				// A new allocator grants little until all hosts have claimed, so this host claims immediately.
 				claimedAt = Number.NEGATIVE_INFINITY;
--- a/packages/sessions/create-routed-runner.test.ts
+++ b/packages/sessions/create-routed-runner.test.ts
@@ -32,7 +32,7 @@
 	/** Answer of each gateway, in the order in which they are tried; an `unreachable` gateway does not answer the ping. */
 	readonly answers: Readonly<Record<string, JobAnswer | 'notServed' | 'unreachable' | 'avoided' | undefined>>;
 	/** `read` for a read; otherwise the job is a write. */
-	readonly work?: 'read';
+	readonly access?: 'read';
 	readonly maySend?: boolean;
 	readonly expected: {readonly kind: JobAnswer['kind']; readonly requested: readonly string[]; readonly isLocal?: boolean};
 };
@@ -43,12 +43,12 @@
 	},
 	{
 		name: 'a read is sent without waiting for the ping, and goes to the next gateway when the ping fails',
-		work: 'read',
+		access: 'read',
 		answers: {b1: 'unreachable', b2: done},
 		expected: {kind: 'answered', requested: ['b1', 'b2']},
 	},
 	{
-		name: 'a gateway in backoff is not tried', work: 'read', answers: {b1: 'avoided', b2: done}, expected: {kind: 'answered', requested: ['b2']},
+		name: 'a gateway in backoff is not tried', access: 'read', answers: {b1: 'avoided', b2: done}, expected: {kind: 'answered', requested: ['b2']},
 	},
 	{
 		name: 'a gateway that accepts no work is skipped', answers: {b1: 'notServed', b2: done}, expected: {kind: 'answered', requested: ['b1', 'b2']},
@@ -77,7 +77,7 @@
 
 describe('createRoutedRunner', () => {
 	for (const {
-		name, answers, work, maySend = true, expected,
+		name, answers, access, maySend = true, expected,
 	} of cases) {
 		it(name, async () => {
 			const requested: string[] = [];
@@ -109,7 +109,7 @@
 				recordObservation: () => undefined,
 				now: () => 0,
 			});
-			const {answer} = await run(work === 'read' ? read : job, () => maySend);
+			const {answer} = await run(access === 'read' ? read : job, () => maySend);
 			expect({kind: answer.kind, requested, isLocal}).to.deep.equal({isLocal: false, ...expected});
 		});
 	}
--- a/packages/sessions/create-table-sync.test.ts
+++ b/packages/sessions/create-table-sync.test.ts
@@ -59,9 +59,9 @@
 
 /** Creates a peer that answers only requests for tables. */
 function createPeer(readTables: FleetPeer['readTables']): FleetPeer {
-	const ask = async () => undefined;
+	const sendNoAnswer = async () => undefined;
 	return {
-		readTables, claimRates: ask, fenceGroup: ask, confirmSilence: ask, runJob: ask, ping: ask,
+		readTables, claimRates: sendNoAnswer, fenceGroup: sendNoAnswer, confirmSilence: sendNoAnswer, runJob: sendNoAnswer, ping: sendNoAnswer,
 	};
 }
 
