--- a/packages/sessions/create-partition-limiter.ts
+++ b/packages/sessions/create-partition-limiter.ts
@@ -68,14 +68,14 @@
 export function createPartitionLimiter(options: Options): RateLimiter {
 	const {self, partition, incarnation, now, log} = options;
 	let fleet: FleetRows | undefined;
-	/** Steady milliseconds at which the fleet's rows were first known. */
+	/** When the fleet's rows first became known, in milliseconds of the steady clock. */
 	let fleetKnownSince: number | undefined;
 	let claimedAt = Number.NEGATIVE_INFINITY;
 	/** Epoch of the rate allocator that answered last. */
 	let answeredEpoch = 0;
-	/** Steady milliseconds of the first claim that the rate allocator has not answered; undefined after an answer. */
+	/** When the first unanswered claim was sent, in milliseconds of the steady clock; undefined after an answer. */
 	let unansweredSince: number | undefined;
-	/** Steady milliseconds of the last answered claim. */
+	/** When a claim was last answered, in milliseconds of the steady clock. */
 	let lastAnswerAt = Number.NEGATIVE_INFINITY;
 	let isBusy = false;
 	let hasRefused = false;
@@ -204,7 +204,7 @@
 		updateFleet(newer) {
 			const row = newer.rateAllocators.get(partition);
 			if (row?.epoch !== findRow()?.epoch) {
-				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The lease of the rate allocator has another holder or epoch.');
+				log.info({partition, holder: row?.holder, epoch: row?.epoch}, 'rates: The lease of the rate allocator changed its holder or epoch.');
 				unansweredSince = undefined;
 				// A new allocator grants little until all hosts have claimed, so this host claims immediately.
 				claimedAt = Number.NEGATIVE_INFINITY;
--- a/packages/sessions/create-session-group.ts
+++ b/packages/sessions/create-session-group.ts
@@ -23,7 +23,7 @@
 	readonly openConnection: OpenConnection;
 	readonly gateways: Gateways;
 	/** Whether this host reads the store directly, and passes the primary's log position on to other hosts. */
-	readonly isReading: () => boolean;
+	readonly isStoreReader: () => boolean;
 	readonly now: () => Instant;
 	readonly log: SessionLog;
 	/** Finds a workspace on whose behalf the primary's position may be queried. */
@@ -42,12 +42,12 @@
 /** Creates this host's state of a group: its instances, its primary and samples of the primary's log position. */
 export function createSessionGroup(name: string, options: Options): SessionGroup {
 	const {
-		zone, openConnection, gateways, now, log, findWorkspace, isReading,
+		zone, openConnection, gateways, now, log, findWorkspace, isStoreReader,
 	} = options;
 	const instances = new Map<string, InstanceRuntime>();
 	/** Called when the primary may have changed. */
 	const waiters = new Set<() => void>();
-	/** Instances that the platform no longer lists, with the monotonic milliseconds since when. */
+	/** Instances that the platform no longer lists, and since when, in milliseconds of the steady clock. */
 	const missing = new Map<string, number>();
 	let row: Versioned<GroupRow> | undefined;
 	let confirmedAt: Instant | undefined;
@@ -61,7 +61,7 @@
 	let samples: readonly PositionSample[] = [];
 	/** Whether a position query is in flight. */
 	let isSampling = false;
-	/** When a caller last requested a read that a replica may serve, in monotonic milliseconds. */
+	/** When a caller last requested a read that a replica may serve, in milliseconds of the steady clock. */
 	let replicaReadAt = Number.NEGATIVE_INFINITY;
 
 	const primary = () => findPrimary({
@@ -158,10 +158,10 @@
 			.filter(instance => instance !== undefined);
 	};
 
-	const recordAnswer: SessionGroup['recordAnswer'] = (instance, answer, asked) => {
-		const isSample = answer.kind === 'answered' && instance === row?.primary && asked.epoch === row.epoch && row.state === 'serving';
+	const recordAnswer: SessionGroup['recordAnswer'] = (instance, answer, request) => {
+		const isSample = answer.kind === 'answered' && instance === row?.primary && request.epoch === row.epoch && row.state === 'serving';
 		if (isSample && answer.position !== undefined) {
-			samples = addPositionSample(samples, {requestedAt: asked.at, position: answer.position});
+			samples = addPositionSample(samples, {requestedAt: request.at, position: answer.position});
 		}
 	};
 
@@ -247,7 +247,7 @@
 			const at = now();
 			const isDue = isPositionSampleDue({
 				age: last === undefined ? Number.POSITIVE_INFINITY : findElapsed(last.requestedAt, at),
-				isStoreReader: isReading(),
+				isStoreReader: isStoreReader(),
 				hasReplicaReads: at.steady - replicaReadAt < samplingPeriodMs,
 				now: at.steady,
 			});
--- a/packages/sessions/create-table-sync.test.ts
+++ b/packages/sessions/create-table-sync.test.ts
@@ -59,9 +59,9 @@
 
 /** Creates a peer that answers only requests for tables. */
 function createPeer(readTables: FleetPeer['readTables']): FleetPeer {
-	const ask = async () => undefined;
+	const sendNoAnswer = async () => undefined;
 	return {
-		readTables, claimRates: ask, fenceGroup: ask, confirmSilence: ask, runJob: ask, ping: ask,
+		readTables, claimRates: sendNoAnswer, fenceGroup: sendNoAnswer, confirmSilence: sendNoAnswer, runJob: sendNoAnswer, ping: sendNoAnswer,
 	};
 }
 
@@ -86,9 +86,9 @@
 			isFirstStart: false,
 			store: store.open(name),
 			listHosts: () => hosts,
-			findPeer: host => createPeer(async (asked, wait) => {
+			findPeer: host => createPeer(async (requested, wait) => {
 				await sleep(1);
-				const answer = isReachable(name, host) ? tableSyncs.get(host)?.readTables(asked, wait) : undefined;
+				const answer = isReachable(name, host) ? tableSyncs.get(host)?.readTables(requested, wait) : undefined;
 				const first = await Promise.race([answer, sleep(callTimeoutMs + wait, undefined)]);
 				return isReachable(name, host) ? first : undefined;
 			}),
--- a/packages/sessions/mod.ts
+++ b/packages/sessions/mod.ts
@@ -1,4 +1,4 @@
-/** Sessions of callers over groups of instances; the wire and the store are passed in as functions. */
+/** Serves the sessions of callers on groups of instances. The wire protocols and the store's client are passed in as functions. */
 export type * from './access.ts';
 export type * from './acquire-outcome.ts';
 export * from './add-position-sample.ts';
@@ -7,7 +7,6 @@
 export * from './apply-observation.ts';
 export * from './apply-setup.ts';
 export * from './apply-setup-statement.ts';
-export type * from './asked-table.ts';
 export * from './assign-rates.ts';
 export * from './bootstrap-settle-ms.ts';
 export * from './burst-budget-fractions.ts';
@@ -129,6 +128,7 @@
 export * from './read-fleet-rows.ts';
 export * from './read-status.ts';
 export * from './replace-primary.ts';
+export type * from './requested-table.ts';
 export type * from './route.ts';
 export * from './run-query.ts';
 export * from './run-read.ts';
--- a/packages/sessions/rank-readers.ts
+++ b/packages/sessions/rank-readers.ts
@@ -4,7 +4,7 @@
 type Options = {
 	/** Position that the log must have reached. */
 	readonly required: LogPoint;
-	/** Current time in steady milliseconds. */
+	/** Current time in milliseconds of the steady clock. */
 	readonly now: number;
 };
 
@@ -51,10 +51,10 @@
 	return costMs;
 }
 
-function isLikelyLagging({lastLag: lagged, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
-	if (lagged === undefined || now - lagged.at > lagRetentionMs) {
+function isLikelyLagging({lastLag, position}: ReadCandidate['health'], required: LogPoint, now: number): boolean {
+	if (lastLag === undefined || now - lastLag.at > lagRetentionMs) {
 		return false;
 	}
 
-	return comparePoints(required, lagged.missingPosition) >= 0 && (position === undefined || comparePoints(position, required) < 0);
+	return comparePoints(required, lastLag.missingPosition) >= 0 && (position === undefined || comparePoints(position, required) < 0);
 }
