--- a/packages/hosts/serve-calls.ts
+++ b/packages/hosts/serve-calls.ts
@@ -60,7 +60,7 @@
 
 		writer.write(message);
 		if (writer.bufferedBytes() > maxBufferedBytes) {
-			failConnection('the other host does not read its answers');
+			failConnection('the calling host does not read its answers');
 		}
 	};
 
