--- a/packages/callers/create-session-codec.ts
+++ b/packages/callers/create-session-codec.ts
@@ -3,6 +3,7 @@
 import {z} from 'zod';
 import type {SessionCodec} from './session-codec.ts';
 
+/** Contents of a claim: workspace, database, and the term and position of a log point. The position is a string, since JSON numbers do not hold 64-bit integers. */
 const schema = z.tuple([z.string(), z.string(), z.number(), z.string().regex(/^\d{1,20}$/v)]);
 
 /**
--- a/packages/decisions/failover-state.ts
+++ b/packages/decisions/failover-state.ts
@@ -5,19 +5,24 @@
 	| {readonly kind: 'watching'}
 	| {
 		readonly kind: 'confirming';
+		/** When confirmation was last requested. */
 		readonly since: number;
+		/** When another zone confirmed the suspicion; undefined before. */
 		readonly confirmedAt: number | undefined;
 	}
 	| {
 		readonly kind: 'fencing';
 		readonly since: number;
 		readonly term: number;
+		/** Reports of the instances that have granted the term, by instance. */
 		readonly granted: ReadonlyMap<string, InstanceReport>;
 	}
 	| {
 		readonly kind: 'promoting';
 		readonly since: number;
 		readonly term: number;
+		/** Instance that is being promoted. */
 		readonly instance: string;
 	}
+	/** The last attempt was abandoned; the watcher may try again from `until` on. */
 	| {readonly kind: 'backingOff'; readonly until: number};
--- a/packages/decisions/take-item.ts
+++ b/packages/decisions/take-item.ts
@@ -1,6 +1,6 @@
 import type {FairQueue} from './fair-queue.ts';
 
-/** Cost that each round adds to the deficit of a workspace. */
+/** Cost that each round adds to the deficit of a workspace; equals the highest default cost of a request. */
 const quantum = 4;
 
 /**
--- a/packages/operators/operator-backend.ts
+++ b/packages/operators/operator-backend.ts
@@ -6,9 +6,12 @@
 export type OperatorBackend = {
 	readonly change: (request: ChangeRequest, change: Change) => Promise<MessageInitShape<typeof ChangeResponseSchema>>;
 	readonly readStatus: () => MessageInitShape<typeof StatusResponseSchema>;
+	/** Starts draining the host: it refuses new requests. */
 	readonly drain: () => void;
+	/** Returns the recorded events, one a line. */
 	readonly formatEvents: () => string;
 	/** Returns whether the host can serve keyed requests. */
 	readonly isReady: () => boolean;
+	/** Returns the metrics in the text format of Prometheus. */
 	readonly readMetrics: () => Promise<string>;
 };
--- a/packages/proxy/create-group-runtime.ts
+++ b/packages/proxy/create-group-runtime.ts
@@ -5,16 +5,23 @@
 import type {GroupRuntime} from './group-runtime.ts';
 
 type Options = {
+	/** Settings of connections to instances. Times are in milliseconds. */
 	readonly settings: {
+		/** Connections that this host keeps to each instance as its gateway. */
 		readonly connections: number;
+		/** Connections to an instance whose gateway this host cannot reach. */
 		readonly directConnections: number;
+		/** Idle time after which a pool is closed. */
 		readonly idleSpan: number;
 		readonly heartbeatInterval: number;
+		/** Time without an answer after which a connection is closed. */
 		readonly silenceLimit: number;
 		readonly reconnectDelay: number;
 		readonly commandTimeout: number;
 	};
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
+	/** Called when an instance answers a probe, with the time at which the probe was sent. */
 	readonly onReport: (report: InstanceReport, sentAt: number) => void;
 };
 
--- a/packages/proxy/create-operator-backend.ts
+++ b/packages/proxy/create-operator-backend.ts
@@ -11,12 +11,15 @@
 	readonly changes: ChangeBackend;
 	readonly events: EventLog;
 	readonly metrics: Metrics;
+	/** Counts the requests that are in progress. */
 	readonly countRunning: () => number;
 	/** Whether this host may lend units of the workspaces whose home host it is. */
 	readonly areRatesReady: () => boolean;
 	/** Greatest age in milliseconds of the configuration's last confirmation at which keyed requests are admitted. */
 	readonly staleAfter: number;
+	/** Starts draining this host at an operator's request. */
 	readonly drain: () => void;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/sessions/fleet-peer.ts
+++ b/packages/sessions/fleet-peer.ts
@@ -18,6 +18,7 @@
 /** A host's claims to shares of the workspaces' rates. */
 type Claims = {
 	readonly host: string;
+	/** Incarnation of the host's process, set when the process starts. */
 	readonly incarnation: number;
 	/** Partition that the claimed workspaces belong to. */
 	readonly partition: number;
