--- a/packages/endpoints/connection-pool.ts
+++ b/packages/endpoints/connection-pool.ts
@@ -9,6 +9,7 @@
 	 */
 	readonly acquire: (request: {
 		readonly workspace: string;
+		/** Cost of the request, which counts against its workspace's fair share of the pool. */
 		readonly cost: number;
 		/** Monotonic milliseconds. */
 		readonly deadline: number;
--- a/packages/proxy/create-borrower.ts
+++ b/packages/proxy/create-borrower.ts
@@ -20,6 +20,7 @@
 	/** Lends units from this host, when it is the home or standby host itself. */
 	readonly lend: HomeBuckets['lend'];
 	readonly metrics: Metrics;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/proxy/create-change-backend.ts
+++ b/packages/proxy/create-change-backend.ts
@@ -20,6 +20,7 @@
 	readonly findPeer: FindPeer;
 	readonly events: EventLog;
 	readonly log: HostLog;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/proxy/create-control-loop.ts
+++ b/packages/proxy/create-control-loop.ts
@@ -8,6 +8,7 @@
 	readonly host: Host;
 	readonly incarnation: number;
 	readonly settings: HostSettings;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 	/** Called after each step with the state before and after it. */
 	readonly onStep: (before: HostState, after: HostState) => void;
--- a/packages/proxy/create-exchanger.ts
+++ b/packages/proxy/create-exchanger.ts
@@ -14,6 +14,7 @@
 	readonly clock: HybridClock;
 	/** Milliseconds since an acceptor last read the table, after which it no longer confirms its configuration. */
 	readonly maxTableAgeMs: number;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/proxy/create-failover-runner.ts
+++ b/packages/proxy/create-failover-runner.ts
@@ -15,6 +15,7 @@
 	readonly events: EventLog;
 	readonly metrics: Metrics;
 	readonly log: HostLog;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/proxy/create-home-buckets.ts
+++ b/packages/proxy/create-home-buckets.ts
@@ -13,6 +13,7 @@
 	readonly settings: HostFile['rate'];
 	readonly readState: () => HostState;
 	readonly findPeer: FindPeer;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/proxy/create-rate-limiter.ts
+++ b/packages/proxy/create-rate-limiter.ts
@@ -12,6 +12,7 @@
 	readonly settings: HostFile['rate'];
 	readonly readState: () => HostState;
 	readonly borrower: Borrower;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/proxy/create-request-handler.ts
+++ b/packages/proxy/create-request-handler.ts
@@ -25,7 +25,9 @@
 	};
 	readonly events: EventLog;
 	readonly metrics: Metrics;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
+	/** Returns the current wall-clock time in milliseconds. */
 	readonly wallNow: () => number;
 };
 
--- a/packages/proxy/create-standby-loans.ts
+++ b/packages/proxy/create-standby-loans.ts
@@ -12,6 +12,7 @@
 	readonly settings: HostFile['rate'];
 	readonly readState: () => HostState;
 	readonly findPeer: FindPeer;
+	/** Returns monotonic milliseconds. */
 	readonly now: () => number;
 };
 
--- a/packages/sessions/create-gateways.ts
+++ b/packages/sessions/create-gateways.ts
@@ -20,6 +20,7 @@
 /** Reachability of another host; times in milliseconds of the steady clock. */
 type Reachability = {
 	lastAnswerAt: number;
+	/** Until when the host is skipped, see `backoffMs`. */
 	avoidedUntil: number;
 	/** The ping in flight, if any. */
 	ping: Promise<boolean> | undefined;
